--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -50,7 +50,7 @@
         path.write_text(text)
 
 
-ORDER = "rollout/order.py"
+ORDER = "rollout/scheduling.py"
 
 MECHANISMS = (
     Mechanism(
@@ -154,17 +154,17 @@
     ),
     Mechanism(
         "bound on reward calls",
-        "rollout/reward_order.py",
+        "rollout/reward_scheduling.py",
         (("OWN_SHARE = 1 / 3", "OWN_SHARE = 1.0"),),
     ),
     Mechanism(
         "order of reward calls",
-        "rollout/reward_order.py",
+        "rollout/reward_scheduling.py",
         (("    due.sort(key=_urgency)\n", ""),),
     ),
     Mechanism(
         "other targets for reward calls",
-        "rollout/reward_order.py",
+        "rollout/reward_scheduling.py",
         (("choose_target(fresh or with_room, ()", "choose_target(with_room, ()"),),
     ),
     Mechanism(
--- a/src/wigeonfront/platform/lot_calls.py
+++ b/src/wigeonfront/platform/lot_calls.py
@@ -19,7 +19,7 @@
     Sample,
     SampleResult,
 )
-from wigeonfront.rollout.order import engine_priority
+from wigeonfront.rollout.scheduling import engine_priority
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/wigeonfront/rollout/keeping.py
+++ b/src/wigeonfront/rollout/keeping.py
@@ -7,7 +7,7 @@
 from wigeonfront.clock import Clock
 from wigeonfront.observability.logs import event
 from wigeonfront.observability.metrics import Counter
-from wigeonfront.rollout.order import batch_due, texts_due
+from wigeonfront.rollout.scheduling import batch_due, texts_due
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.repository import (
     InDoubt,
--- a/src/wigeonfront/rollout/picking.py
+++ b/src/wigeonfront/rollout/picking.py
@@ -5,8 +5,8 @@
 
 from wigeonfront.clock import Clock
 from wigeonfront.configuration import Configuration
-from wigeonfront.rollout.order import Needs, Waiting, waiting_samples
-from wigeonfront.rollout.placing import OverloadWatch, SamplePlacer
+from wigeonfront.rollout.scheduling import Needs, Waiting, waiting_samples
+from wigeonfront.rollout.placement import OverloadWatch, SamplePlacer
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.run import Run
 from wigeonfront.targets.views import TargetView
--- a/src/wigeonfront/rollout/placing.py
+++ b/src/wigeonfront/rollout/placement.py
@@ -6,7 +6,7 @@
 from wigeonfront.clock import Clock
 from wigeonfront.configuration import Configuration
 from wigeonfront.observability.logs import event
-from wigeonfront.rollout.order import (
+from wigeonfront.rollout.scheduling import (
     TOKEN_SECONDS,
     UNKNOWN_TOKENS,
     Waiting,
--- a/src/wigeonfront/rollout/run.py
+++ b/src/wigeonfront/rollout/run.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from wigeonfront.rollout.order import PACE_EVENTS
+from wigeonfront.rollout.scheduling import PACE_EVENTS
 from wigeonfront.rollout.progress import LotProgress, SampleState
 from wigeonfront.rollout.sample_run import RunHandle
 from wigeonfront.targets.views import TargetView
--- a/src/wigeonfront/rollout/runner.py
+++ b/src/wigeonfront/rollout/runner.py
@@ -21,7 +21,7 @@
 from wigeonfront.rollout.inheritance import NOTHING, Inheritance, begin_progress
 from wigeonfront.rollout.keeping import ResultKeeper
 from wigeonfront.rollout.lot import Lot, SampleResult
-from wigeonfront.rollout.order import (
+from wigeonfront.rollout.scheduling import (
     SNAPSHOT_EVENTS,
     Waiting,
     expected_seconds,
@@ -29,7 +29,7 @@
 )
 from wigeonfront.rollout.owner_calls import OwnedResults, ResultsInDoubt
 from wigeonfront.rollout.picking import Picker
-from wigeonfront.rollout.placing import OverloadWatch, SamplePlacer
+from wigeonfront.rollout.placement import OverloadWatch, SamplePlacer
 from wigeonfront.rollout.progress import LotProgress, SampleState
 from wigeonfront.rollout.recent_texts import RecentTexts
 from wigeonfront.rollout.repository import LotRepository
--- a/src/wigeonfront/rollout/scoring.py
+++ b/src/wigeonfront/rollout/scoring.py
@@ -22,7 +22,7 @@
     RewardCaller,
     Scored,
 )
-from wigeonfront.rollout.reward_order import (
+from wigeonfront.rollout.reward_scheduling import (
     DueCall,
     choose_call_target,
     due_calls,
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -8,7 +8,7 @@
 from rows_fakes import free_address
 from wigeonfront.clock import ManualClock
 from wigeonfront.rollout.engine_loads import LoadFollower, LoadServer
-from wigeonfront.rollout.order import Needs, choose_engine
+from wigeonfront.rollout.scheduling import Needs, choose_engine
 from wigeonfront.targets.table import TargetTable
 from wigeonfront.targets.target import Target
 
--- a/tests/test_lot_load.py
+++ b/tests/test_lot_load.py
@@ -24,7 +24,7 @@
 import pytest
 
 from wigeonfront.rollout.lot import Lot, Sample
-from wigeonfront.rollout.order import (
+from wigeonfront.rollout.scheduling import (
     CROWDING,
     TOKEN_SECONDS,
     Needs,
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -20,8 +20,8 @@
 from wigeonfront.rollout.events import StreamEvent, Text
 from wigeonfront.rollout.inheritance import Inheritance
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
-from wigeonfront.rollout.order import Waiting
-from wigeonfront.rollout.placing import SamplePlacer
+from wigeonfront.rollout.scheduling import Waiting
+from wigeonfront.rollout.placement import SamplePlacer
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.repository import Kept
 from wigeonfront.rollout.run_outcomes import (
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -23,7 +23,7 @@
 import pytest
 
 from wigeonfront.rollout.lot import Lot, Sample
-from wigeonfront.rollout.order import TOKEN_SECONDS, expected_seconds, waiting_samples
+from wigeonfront.rollout.scheduling import TOKEN_SECONDS, expected_seconds, waiting_samples
 from wigeonfront.rollout.overload import (
     GroupRank,
     WorkEstimate,
--- a/tests/test_result_keeper.py
+++ b/tests/test_result_keeper.py
@@ -11,7 +11,7 @@
 from wigeonfront.rollout.events import Text
 from wigeonfront.rollout.keeping import BATCH_BYTES, ResultKeeper
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
-from wigeonfront.rollout.order import TEXT_SECONDS
+from wigeonfront.rollout.scheduling import TEXT_SECONDS
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.repository import InDoubt, Kept, NotKept
 
--- a/tests/test_reward_load.py
+++ b/tests/test_reward_load.py
@@ -33,7 +33,7 @@
 import pytest
 
 from wigeonfront.forwarding.placement import choose_target
-from wigeonfront.rollout.reward_order import choose_call_target
+from wigeonfront.rollout.reward_scheduling import choose_call_target
 from wigeonfront.targets.target import Target
 from wigeonfront.targets.views import TargetView
 
--- a/tests/test_reward_order.py
+++ b/tests/test_reward_scheduling.py
@@ -10,7 +10,7 @@
     CallFailed,
     CallRefused,
 )
-from wigeonfront.rollout.reward_order import (
+from wigeonfront.rollout.reward_scheduling import (
     LEAST_WAIT_SECONDS,
     MOST_PAUSE_SECONDS,
     SLOW_SECONDS,
--- a/tests/test_rollout_order.py
+++ b/tests/test_scheduling.py
@@ -2,7 +2,7 @@
 
 from wigeonfront.rollout.events import Text
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
-from wigeonfront.rollout.order import (
+from wigeonfront.rollout.scheduling import (
     BATCH_SECONDS,
     FIRST_EVENT_SECONDS,
     MOST_FIRST_EVENT_SECONDS,
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -20,7 +20,7 @@
 from wigeonfront.rollout.events import StreamEvent, Text
 from wigeonfront.rollout.inheritance import Inheritance
 from wigeonfront.rollout.lot import Lot, RewardCall, Sample
-from wigeonfront.rollout.order import texts_due
+from wigeonfront.rollout.scheduling import texts_due
 from wigeonfront.rollout.repository import LotRepository
 from wigeonfront.rollout.reward_call import (
     CallBroken,
@@ -29,7 +29,7 @@
     CallRefused,
     Scored,
 )
-from wigeonfront.rollout.reward_order import FULL_AFTER_SECONDS, SLOW_SECONDS
+from wigeonfront.rollout.reward_scheduling import FULL_AFTER_SECONDS, SLOW_SECONDS
 from wigeonfront.rollout.run_outcomes import RunCompleted
 from wigeonfront.rollout.runner import LotRunner
 from wigeonfront.spool import SpoolClient
