--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from benchmarks.rounds.mechanisms import ORDER, Mechanism
+from benchmarks.rounds.mechanisms import SCHEDULING, Mechanism
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,27 +50,27 @@
     _mutation(
         "a run has one second",
         "rollout/runner.py",
-        "max(LEAST_RUN_SECONDS, run.progress.gives_up_at - started)",
+        "max(MIN_RUN_SECONDS, run.progress.gives_up_at - started)",
         "1.0",
         "test_lot_runner.py",
     ),
     _mutation(
         "samples wait in no order",
-        ORDER,
-        "UNRANKED), one.latest_start)",
+        SCHEDULING,
+        "UNRANKED), sample.latest_start)",
         "UNRANKED), 0.0)",
         "test_scheduling.py",
     ),
     _mutation(
         "weights may be any",
-        ORDER,
+        SCHEDULING,
         "return version is None or version >= self.min_version",
         "return True",
         "test_scheduling.py",
     ),
     _mutation(
         "a text goes on at any version",
-        ORDER,
+        SCHEDULING,
         "return version == self.text_version",
         "return True",
         "test_scheduling.py",
@@ -78,42 +78,42 @@
     ),
     _mutation(
         "leaving engines get samples",
-        ORDER,
+        SCHEDULING,
         "if not view.draining\n        and view.available",
         "if view.available",
         "test_scheduling.py",
     ),
     _mutation(
         "the engine that broke a run is not avoided",
-        ORDER,
+        SCHEDULING,
         "if view.target.id != avoid] or usable",
         "if True]",
         "test_scheduling.py",
     ),
     _mutation(
         "runs never move",
-        ORDER,
+        SCHEDULING,
         "if pace > MOVE_FACTOR * typical:\n        return True",
         "if pace > MOVE_FACTOR * typical:\n        return False",
         "test_scheduling.py",
     ),
     _mutation(
         "runs move without end",
-        ORDER,
-        "if moves >= MOST_MOVES or",
+        SCHEDULING,
+        "if moves >= MAX_MOVES or",
         "if",
         "test_scheduling.py",
     ),
     _mutation(
         "a full engine's silence is waited for no longer",
-        ORDER,
-        "if view.load >= view.target.slots:\n        return MOST_FIRST",
-        "if False:\n        return MOST_FIRST",
+        SCHEDULING,
+        "if view.load >= view.target.slots:\n        return MAX_FIRST",
+        "if False:\n        return MAX_FIRST",
         "test_scheduling.py",
     ),
     _mutation(
         "short places are not shared",
-        ORDER,
+        SCHEDULING,
         "or view.in_flight < own_share",
         "",
         "test_overload.py",
@@ -121,14 +121,14 @@
     ),
     _mutation(
         "results wait for their batch though all are there",
-        ORDER,
+        SCHEDULING,
         "URGENT_BATCH_SECONDS if all_done or groups_done else BATCH_SECONDS",
         "BATCH_SECONDS",
         "test_scheduling.py",
     ),
     _mutation(
         "texts are never kept",
-        ORDER,
+        SCHEDULING,
         "return any(state.unsaved for state in progress.open.values())",
         "return False",
         "test_scheduling.py",
@@ -136,7 +136,7 @@
     _mutation(
         "overload is never seen",
         "rollout/overload.py",
-        "if needed > places * _time_left(progress, now):",
+        "if needed > slots * _time_left(progress, now):",
         "if False:",
         "test_overload.py",
     ),
--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -50,7 +50,7 @@
         path.write_text(text)
 
 
-ORDER = "rollout/scheduling.py"
+SCHEDULING = "rollout/scheduling.py"
 
 MECHANISMS = (
     Mechanism(
@@ -63,40 +63,42 @@
         "weights/plan.py",
         (("MODELS_PER_ENGINE = 2", "MODELS_PER_ENGINE = 99"),),
     ),
-    Mechanism("moves", ORDER, (("MOST_MOVES = 3", "MOST_MOVES = 0"),)),
+    Mechanism("moves", SCHEDULING, (("MAX_MOVES = 3", "MAX_MOVES = 0"),)),
     Mechanism(
-        "pace of engines", ORDER, (("(view.latency or typical) *", "typical *"),)
+        "pace of engines", SCHEDULING, (("(view.latency or typical) *", "typical *"),)
     ),
     Mechanism(
-        "runs and paces told", "rollout/engine_loads.py", (("ASKED = 3", "ASKED = 0"),)
+        "runs and paces told",
+        "rollout/engine_loads.py",
+        (("MAX_ASKED_OWNERS = 3", "MAX_ASKED_OWNERS = 0"),),
     ),
     Mechanism(
         "probes of loading engines",
         "node/entry.py",
         (("if target.address in loading:", "if target.address in ():"),),
     ),
-    Mechanism("group bonus", ORDER, (("GROUP_BONUS = 2", "GROUP_BONUS = 0"),)),
+    Mechanism("group bonus", SCHEDULING, (("GROUP_BONUS = 2", "GROUP_BONUS = 0"),)),
     Mechanism(
         "priorities at engines",
-        ORDER,
+        SCHEDULING,
         (("URGENT_TOKENS = (2000, 1000, 500)", "URGENT_TOKENS = ()"),),
     ),
     Mechanism(
         "long samples first",
-        ORDER,
-        (("UNRANKED), one.latest_start)", "UNRANKED), 0.0)"),),
+        SCHEDULING,
+        (("UNRANKED), sample.latest_start)", "UNRANKED), 0.0)"),),
     ),
     Mechanism(
         "kept texts",
-        ORDER,
+        SCHEDULING,
         (("SNAPSHOT_EVENTS = 8", "SNAPSHOT_EVENTS = 10**9"),),
     ),
     Mechanism(
         "texts of ended Lots",
         "rollout/recent_texts.py",
-        (("MOST_RECENT_TEXTS = 2_000", "MOST_RECENT_TEXTS = 0"),),
+        (("MAX_RECENT_TEXTS = 2_000", "MAX_RECENT_TEXTS = 0"),),
     ),
-    Mechanism("batches", ORDER, (("BATCH_SECONDS = 1.0", "BATCH_SECONDS = 0.0"),)),
+    Mechanism("batches", SCHEDULING, (("BATCH_SECONDS = 1.0", "BATCH_SECONDS = 0.0"),)),
     Mechanism(
         "feeds",
         "coordination/feed.py",
@@ -196,7 +198,7 @@
     Mechanism(
         "order of groups where places are short",
         "rollout/overload.py",
-        (("    if _fits(lots, work, places, now):", "    if True:"),),
+        (("    if _fits(lots, work, slots, now):", "    if True:"),),
     ),
     Mechanism(
         "one owner for each trainer",
@@ -215,7 +217,7 @@
     ),
     Mechanism(
         "short wait for first events",
-        ORDER,
+        SCHEDULING,
         (("FIRST_EVENT_SECONDS = 1.0", "FIRST_EVENT_SECONDS = 3.0"),),
     ),
 )
--- a/src/wigeonfront/rollout/after_run.py
+++ b/src/wigeonfront/rollout/after_run.py
@@ -1,4 +1,4 @@
-"""What becomes of a sample after a run of it."""
+"""Decides what happens to a sample after one of its runs."""
 
 from dataclasses import dataclass
 from functools import singledispatch
@@ -20,11 +20,11 @@
 from wigeonfront.targets.table import TargetTable
 
 FAILED_PAUSE_SECONDS = 0.1
-"""Pause before a failed sample is sent again."""
+"""Pause before a failed sample is retried."""
 
 
-QUARANTINE_LOOK_SECONDS = 5.0
-"""Longest pause until it is looked again whether a sample is still quarantined."""
+QUARANTINE_CHECK_SECONDS = 5.0
+"""Longest pause between two checks whether a sample is still quarantined."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,21 +34,21 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """The sample gets no more runs."""
+    """The sample is given up and gets no more runs."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class RunAgain:
-    """The sample waits for another run; what its text has is gone on from."""
+class Requeue:
+    """The sample waits for another run, which continues its text."""
 
 
-NextStep = TextWhole | GiveUp | RunAgain
+NextStep = TextWhole | GiveUp | Requeue
 
 
 def outcome_of(run: Run, outcome: RunOutcome) -> RunOutcome:
-    """Return a run's outcome, with what its process knows of why it ended so."""
+    """Return a run's outcome, corrected by what this process knows of its cause."""
     if run.handle.cancelled:
         return RunCancelled()
     if run.handle.moved and isinstance(outcome, RunBroken):
@@ -59,67 +59,69 @@
 
 
 @singledispatch
-def settle(outcome: RunOutcome, run: Run, table: TargetTable, now: float) -> NextStep:
-    """Note what a run showed, and return what becomes of its sample.
+def next_step(
+    outcome: RunOutcome, run: Run, table: TargetTable, now: float
+) -> NextStep:
+    """Record what a run showed, and return what happens to its sample next.
 
     Parameters
     ----------
     outcome : RunOutcome
     run : Run
     table : TargetTable
-        Learns what the run says of the engine.
+        Records what the run showed about the engine.
     now : float
         Monotonic time.
     """
     run.state.avoid = run.target_id
-    return RunAgain()
+    return Requeue()
 
 
-@settle.register
+@next_step.register
 def _(outcome: RunCompleted, run: Run, table: TargetTable, now: float) -> NextStep:
     if _fits(run):
         return TextWhole()
     run.state.forget_text()
-    return RunAgain()
+    return Requeue()
 
 
-@settle.register
+@next_step.register
 def _(outcome: RunImpossible, run: Run, table: TargetTable, now: float) -> NextStep:
     return GiveUp("impossible")
 
 
-@settle.register
+@next_step.register
 def _(outcome: RunFailed, run: Run, table: TargetTable, now: float) -> NextStep:
     run.state.failures += 1
     run.state.avoid = run.target_id
     run.state.not_before = now + FAILED_PAUSE_SECONDS
     if run.state.failures >= run.progress.lot.max_attempts:
         return GiveUp("failed attempts")
-    return RunAgain()
+    return Requeue()
 
 
-@settle.register
+@next_step.register
 def _(outcome: RunQuarantined, run: Run, table: TargetTable, now: float) -> NextStep:
-    run.state.not_before = now + min(outcome.seconds, QUARANTINE_LOOK_SECONDS)
-    return RunAgain()
+    run.state.not_before = now + min(outcome.seconds, QUARANTINE_CHECK_SECONDS)
+    return Requeue()
 
 
-@settle.register
+@next_step.register
 def _(outcome: RunRefused, run: Run, table: TargetTable, now: float) -> NextStep:
     if outcome.replaced:
         table.replaced(run.target_id)
     elif outcome.reached:
         table.refused(run.target_id, run.state.sample.model)
-    return RunAgain()
+    return Requeue()
 
 
-@settle.register
+@next_step.register
 def _(outcome: RunTooOld, run: Run, table: TargetTable, now: float) -> NextStep:
     table.saw_version(run.target_id, run.state.sample.model, outcome.version)
-    # What another engine can go on from is kept; see `SamplePlacer`.
+    # A text that another engine can continue is kept; see `SamplePlacer`.
     if not _fits(run):
         run.state.forget_text()
-    return RunAgain()
+    return Requeue()
 
 
 def _fits(run: Run) -> bool:
--- a/src/wigeonfront/rollout/engine_loads.py
+++ b/src/wigeonfront/rollout/engine_loads.py
@@ -1,10 +1,11 @@
-"""What owners of Lots tell each other of engines: runs there, and how fast they go.
-
-Trainers ask for steps at the same moments, and each Lot has another owner. Owners that
-count only their own runs give their longest samples to the same fastest engines: 24
-runs on 12 places, of which the last wait for 3 s. So each asks the others some times a
-second, and until it knows better takes it that another one sends as it does itself.
-Paces are told too: an entry that has run no Lot lately knows none.
+"""Exchanges the loads of engines between owners of Lots: their runs and their paces.
+
+Trainers ask for steps at the same moments, and each Lot has another owner. If owners
+counted only their own runs, they would give their longest samples to the same fastest
+engines: 24 runs on 12 slots, of which the last wait for 3 s. Each owner therefore asks
+the others several times a second, and until they answer it assumes that another owner
+sends as many runs as it does itself. Paces are exchanged too, as an entry that has run
+no Lot lately knows none.
 """
 
 import logging
@@ -28,25 +29,38 @@
 
 CONNECT_SECONDS = 0.1
 ANSWER_SECONDS = 0.2
-"""Longest wait for an owner: forty times a round trip, less than a round's pause."""
+"""Timeout for an owner's answer.
+
+It is forty times a round trip, and shorter than the pause between two rounds.
+"""
 
-ASKED = 3
-"""Owners that are asked: the last ones to have run Lots have the runs that go on."""
+MAX_ASKED_OWNERS = 3
+"""Number of owners that are asked in each round.
+
+The owners of the newest Lots have the runs that are still in progress.
+"""
 
 BUSY_PAUSE_SECONDS = 0.25
-"""Pause between two rounds while Lots are run: half of all samples last longer."""
+"""Pause between two rounds while this process runs Lots.
+
+Half of all samples take longer.
+"""
 
 START_PAUSE_SECONDS = 0.05
-"""Pause from a Lot's start until the others are asked: a Lot that came to another owner
-at the same moment has been sent by then."""
+"""Pause between a Lot's start and the next round.
+
+By then another owner has sent the samples of a Lot that started at the same moment.
+"""
 
 IDLE_PAUSE_SECONDS = 4.0
-"""Pause between two rounds otherwise, about the time of a step, so that the first Lot
-starts with known paces."""
+"""Pause between two rounds while this process runs no Lots.
+
+It is about the duration of a step, so that the next Lot starts with known paces.
+"""
 
 
 class LoadServer:
-    """Answers other entries about engines.
+    """Answers other entries' calls about the loads of engines.
 
     Parameters
     ----------
@@ -57,29 +71,29 @@
         self._table = table
 
     def answer(self, call: RawCall) -> None:
-        """Answer one call over HTTP."""
+        """Answer one HTTP call with the states of the engines known to this process."""
         call.body(0)
         call.reply(OK, msgspec.msgpack.encode(self._table.engine_states()))
 
 
 @dataclass(frozen=True, slots=True)
 class LoadsUnknown:
-    """An owner did not tell."""
+    """An owner did not answer with its loads."""
 
     reason: str
 
 
 class LoadFollower:
-    """Asks other owners in rounds.
+    """Asks other owners for their loads in rounds.
 
     Parameters
     ----------
     table : TargetTable
-        Takes what they answer.
+        Receives the answers.
     owners : callable
-        Returns the addresses of other owners, that of the newest Lot first.
+        Returns the addresses of other owners, that of the newest Lot's owner first.
     busy : callable
-        Tells whether this process runs Lots.
+        Returns whether this process runs Lots.
     """
 
     def __init__(
@@ -93,29 +107,29 @@
         self._busy = busy
         self._pools = Pools(CONNECT_SECONDS)
         self._wake = threading.Event()
-        self._silent: dict[str, str] = {}
+        self._failures: dict[str, str] = {}
 
     def lot_started(self) -> None:
-        """Ask soon: samples of a Lot are about to be sent."""
+        """Ask soon, because samples of a new Lot are about to be sent."""
         self._wake.set()
 
     def run(self, stop: threading.Event) -> None:
-        """Ask in rounds (a supervisor's task)."""
+        """Ask in rounds (run as a supervised task)."""
         while not stop.is_set():
-            self.ask(self._owners()[:ASKED])
+            self.ask(self._owners()[:MAX_ASKED_OWNERS])
             pause = BUSY_PAUSE_SECONDS if self._busy() else IDLE_PAUSE_SECONDS
             if self._wake.wait(pause):
                 self._wake.clear()
                 stop.wait(START_PAUSE_SECONDS)
 
     def ask(self, addresses: Iterable[str]) -> None:
-        """Ask the owners at `addresses` once; hand over what they tell."""
-        found = {address: self._ask(address) for address in addresses}
-        for address, told in found.items():
-            self._log(address, told)
-        states = [told for told in found.values() if isinstance(told, list)]
-        flat = [state for told in states for state in told]
-        self._table.learn(OthersEngines(len(found), flat))
+        """Ask the owners at `addresses` once, and pass their answers to the table."""
+        answers = {address: self._ask(address) for address in addresses}
+        for address, answer in answers.items():
+            self._log(address, answer)
+        known = [answer for answer in answers.values() if isinstance(answer, list)]
+        states = [state for answer in known for state in answer]
+        self._table.learn(OthersEngines(len(answers), states))
 
     def _ask(self, address: str) -> list[EngineState] | LoadsUnknown:
         answer = self._pools.post(address, LOADS_PATH, b"", ANSWER_SECONDS)
@@ -128,11 +142,11 @@
         except msgspec.DecodeError as error:
             return LoadsUnknown(str(error))
 
-    def _log(self, address: str, told: list[EngineState] | LoadsUnknown) -> None:
-        """Log an owner that has fallen silent, or tells again."""
-        reason = told.reason if isinstance(told, LoadsUnknown) else ""
-        if reason == self._silent.get(address, ""):
+    def _log(self, address: str, answer: list[EngineState] | LoadsUnknown) -> None:
+        """Log that an owner no longer answers, or answers again."""
+        reason = answer.reason if isinstance(answer, LoadsUnknown) else ""
+        if reason == self._failures.get(address, ""):
             return
-        self._silent[address] = reason
+        self._failures[address] = reason
         name = "loads_unknown" if reason else "loads_known"
         event(logger, name, owner=address, reason=reason)
--- a/src/wigeonfront/rollout/events.py
+++ b/src/wigeonfront/rollout/events.py
@@ -1,4 +1,4 @@
-"""Reads the events of a stream and joins them into the text of a sample."""
+"""Parses the events of a stream and joins them into the text of a sample."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event.
+    """One event of a stream.
 
     Attributes
     ----------
@@ -15,7 +15,7 @@
         Position in the stream, from 1; 0 if the event has none.
     data : bytes
     version : int or None
-        Version of the weights from this event on, where it says so.
+        Version of the weights from this event on; ``None`` if the event names none.
     """
 
     id: int
@@ -24,12 +24,12 @@
 
 
 class EventReader:
-    """Splits the bytes of a stream into whole events.
+    """Splits the bytes of a stream into complete events.
 
     Parameters
     ----------
     version_field : bytes
-        Name of the line that tells a change of version, in lower case, with a colon.
+        Name of the line that announces a version, in lower case and with the colon.
     """
 
     def __init__(self, version_field: bytes) -> None:
@@ -38,21 +38,21 @@
 
     @property
     def rest(self) -> bytes:
-        """Bytes after the last whole event."""
+        """Bytes after the last complete event."""
         return self._rest
 
     def feed(self, piece: bytes) -> list[StreamEvent]:
-        """Return the events that `piece` completes."""
+        """Return the events that end in `piece`."""
         return [self._parse(raw) for raw in self.feed_raw(piece)]
 
     def feed_raw(self, piece: bytes) -> list[bytes]:
-        """Return the bytes of the events that `piece` completes."""
+        """Return the bytes of the events that end in `piece`."""
         self._rest = (self._rest + piece).replace(b"\r\n", b"\n")
         *whole, self._rest = self._rest.split(BOUNDARY)
         return [raw for raw in whole if raw.strip()]
 
     def parse(self, raw: bytes) -> StreamEvent:
-        """Return the event that `raw` holds."""
+        """Return the event that the bytes `raw` encode."""
         return self._parse(raw)
 
     def _parse(self, raw: bytes) -> StreamEvent:
@@ -73,16 +73,16 @@
 
 @dataclass(slots=True)
 class Text:
-    """The events of a sample so far, also over several runs.
+    """The events of a sample so far, which several runs may have generated.
 
     Attributes
     ----------
     pieces : list of bytes
         Data of events 1, 2, 3 and so on.
     versions : set of int
-        Versions that generated them.
+        Versions of the weights that generated them.
     whole : bool
-        The engine has said that no event follows.
+        The engine has ended the text, so that no event follows.
     """
 
     pieces: list[bytes] = field(default_factory=list)
@@ -91,16 +91,16 @@
 
     @property
     def last_id(self) -> int:
-        """Id of the last event; 0 for none."""
+        """Id of the last event; 0 if there is none."""
         return len(self.pieces)
 
     @property
     def extent(self) -> int:
-        """How far the text is: its events, and one more for knowing its end."""
+        """Number of events, plus one if the text is known to be whole."""
         return self.last_id + self.whole
 
     def add(self, event: StreamEvent, version: int) -> bool:
-        """Add the next event; return whether its id is the one that is due."""
+        """Add an event, and return whether its id is the next one; else ignore it."""
         if event.id != self.last_id + 1:
             return False
         self.pieces.append(event.data)
@@ -108,7 +108,7 @@
         return True
 
     def fits(self, min_version: int, single_version: bool) -> bool:
-        """Tell whether the text may be part of a Lot with these bounds."""
+        """Return whether the text may be part of a Lot with these bounds."""
         if any(version < min_version for version in self.versions):
             return False
         return not single_version or len(self.versions) <= 1
@@ -118,5 +118,5 @@
         return b"\n".join(self.pieces)
 
     def copy(self) -> "Text":
-        """Return a copy that later events don't change."""
+        """Return a copy that later events do not change."""
         return Text(list(self.pieces), set(self.versions), self.whole)
--- a/src/wigeonfront/rollout/inheritance.py
+++ b/src/wigeonfront/rollout/inheritance.py
@@ -63,7 +63,7 @@
         progress.finish(result)
     progress.owed = len(progress.results)
     for id, state in progress.open.items():
-        text = recent.take(lot.account, id) or left.texts.get(id)
+        text = recent.pop(lot.account, id) or left.texts.get(id)
         state.waits_since = now
         if text is not None and text.fits(lot.min_version, lot.single_version):
             state.text = text
--- a/src/wigeonfront/rollout/keeping.py
+++ b/src/wigeonfront/rollout/keeping.py
@@ -7,7 +7,6 @@
 from wigeonfront.clock import Clock
 from wigeonfront.observability.logs import event
 from wigeonfront.observability.metrics import Counter
-from wigeonfront.rollout.scheduling import batch_due, texts_due
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.repository import (
     InDoubt,
@@ -16,6 +15,7 @@
     NotKept,
     OwnerReplaced,
 )
+from wigeonfront.rollout.scheduling import batch_due, texts_due
 
 logger = logging.getLogger(__name__)
 
--- a/src/wigeonfront/rollout/lots.py
+++ b/src/wigeonfront/rollout/lots.py
@@ -106,7 +106,7 @@
             submissions,
             lambda: me().incarnation,
             runner.deferred,
-            runner.settle,
+            runner.note_head_written,
             self._give_up,
         )
         self._known = KnownLots(
--- a/src/wigeonfront/rollout/overload.py
+++ b/src/wigeonfront/rollout/overload.py
@@ -1,9 +1,10 @@
-"""Which groups of samples go first when the engines can't run all in time.
+"""Ranks groups of samples while the engines can't run all of them in time.
 
-A step earns by whole groups. While the places of the engines suffice, the samples that
-take longest go first, so that a step ends soonest. Where they don't, that order begins
-every group and ends none in time: then the group that needs least is run to its end
-before the next one is begun, whatever Lot it belongs to. Decisions and data only.
+Only whole groups are of use to a trainer's step. While the engines' slots suffice, the
+longest samples go first, so that a step ends as early as possible. While they don't,
+that order would begin every group and complete none in time. Then the group that needs
+the least time is completed before the next one begins, whatever Lot it belongs to. This
+module holds decisions and data only.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -14,30 +15,30 @@
 from wigeonfront.targets.views import TargetView
 
 LATE_FACTOR = 1.6
-"""Multiple of the time that a Lot has, in which groups that are late are still worth
-something to its trainer."""
+"""Multiple of a Lot's due time until which late groups are of use to its trainer."""
 
-LEAST_SECONDS = 0.05
-"""Least time that a sample without a result is taken to need."""
+MIN_SECONDS_LEFT = 0.05
+"""Minimum of the remaining time that is assumed for a sample without a result."""
 
 RATIO_WEIGHT = 0.05
-"""Weight of the newest whole run in what a run takes against what was expected."""
+"""Weight of the latest complete run in the ratio of actual to expected time."""
 
-Seconds = Callable[[SampleState], float]
+RemainingSeconds = Callable[[SampleState], float]
+"""Returns the seconds that a sample still needs."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class GroupRank:
-    """Place of a group in the order; the least goes first.
+    """Rank of a group; the group with the lowest rank goes first.
 
     Attributes
     ----------
     late : bool
-        It can't be whole in time.
+        The group can't be whole in time.
     begun : int
-        0 if one of its samples runs or has run, else 1.
+        0 if one of the group's samples runs or has generated text, else 1.
     seconds : float
-        That its samples need together.
+        Seconds that the group's samples need together.
     """
 
     late: bool = False
@@ -47,13 +48,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _GroupWork:
+    """Remaining seconds of a group in total and of its longest sample."""
+
     seconds: float
     longest: float
     begun: bool
 
 
 GroupKey = tuple[str, str]
-"""A Lot's id and a group of it."""
+"""Id of a Lot, and name of one of its groups."""
 
 
 def group_key(progress: LotProgress, sample: Sample) -> GroupKey:
@@ -62,18 +65,24 @@
 
 
 class WorkEstimate:
-    """What runs take against what was expected of them, learnt from whole runs."""
+    """Ratio of the time that runs take to the expected time, from complete runs."""
 
     def __init__(self) -> None:
         self._ratio = 1.0
 
     @property
     def ratio(self) -> float:
-        """Seconds for each expected second."""
+        """Seconds that a run takes for each expected second."""
         return self._ratio
 
     def note(self, expected: float, seconds: float) -> None:
-        """Take a run that has generated a whole text."""
+        """Record a run that has generated a whole text.
+
+        Parameters
+        ----------
+        expected, seconds : float
+            Expected and actual duration of the run in seconds.
+        """
         if expected > 0:
             self._ratio += RATIO_WEIGHT * (seconds / expected - self._ratio)
 
@@ -81,20 +90,23 @@
 def seconds_left(expected: float, done: float) -> float:
     """Return the seconds that a sample still needs.
 
-    An estimate that is passed says little: half as much again may follow.
+    Once a sample has taken longer than expected, half as much again is assumed.
 
     Parameters
     ----------
-    expected, done : float
-        Seconds in all, and of what is generated already.
+    expected : float
+        Expected seconds for the whole sample.
+    done : float
+        Seconds for what is generated already.
     """
-    return max(expected - done, done / 2, LEAST_SECONDS)
+    return max(expected - done, done / 2, MIN_SECONDS_LEFT)
 
 
-def places_for(views: Iterable[TargetView]) -> float:
-    """Return the places that this process's samples may count on.
+def available_slots(views: Iterable[TargetView]) -> float:
+    """Return the slots that this process's samples may count on.
 
-    They are those that no other process takes, and its share of all if these are more.
+    These are the slots that other processes don't use, or this process's share of all
+    slots if that is more.
     """
     usable = [view for view in views if view.available and not view.draining]
     total = sum(view.target.slots for view in usable)
@@ -105,62 +117,69 @@
 
 
 def ranks_in_overload(
-    lots: Sequence[LotProgress], places: float, now: float, seconds: Seconds
+    lots: Sequence[LotProgress], slots: float, now: float, seconds: RemainingSeconds
 ) -> dict[GroupKey, GroupRank]:
-    """Return the order of groups; empty where all that is wanted fits in time.
+    """Return the ranks of groups; empty if all wanted groups can be whole in time.
 
     Parameters
     ----------
     lots : sequence of LotProgress
-        That share the places.
+        Lots that share the slots.
+    slots : float
+        Slots that these Lots may use.
     now : float
         Monotonic time.
     seconds : callable
-        Returns what a sample still needs.
+        Returns the seconds that a sample still needs.
     """
-    work = {progress.lot.id: _work(progress, seconds) for progress in lots}
-    if _fits(lots, work, places, now):
+    work = {progress.lot.id: _work_by_group(progress, seconds) for progress in lots}
+    if _fits(lots, work, slots, now):
         return {}
     return {
-        (progress.lot.id, group): _rank(progress, found, now)
+        (progress.lot.id, group): _rank(progress, group_work, now)
         for progress in lots
-        for group, found in work[progress.lot.id].items()
+        for group, group_work in work[progress.lot.id].items()
     }
 
 
-def _work(progress: LotProgress, seconds: Seconds) -> dict[str, _GroupWork]:
-    found: dict[str, _GroupWork] = {}
+def _work_by_group(
+    progress: LotProgress, seconds: RemainingSeconds
+) -> dict[str, _GroupWork]:
+    by_group: dict[str, _GroupWork] = {}
     for state in progress.open.values():
         group = state.sample.group or state.sample.id
-        known = found.get(group, _GroupWork(0.0, 0.0, False))
+        known = by_group.get(group, _GroupWork(0.0, 0.0, False))
         need = seconds(state)
-        found[group] = _GroupWork(
+        by_group[group] = _GroupWork(
             known.seconds + need,
             max(known.longest, need),
             known.begun or state.running or bool(state.text.last_id),
         )
-    return found
+    return by_group
 
 
 def _fits(
     lots: Sequence[LotProgress],
     work: Mapping[str, Mapping[str, _GroupWork]],
-    places: float,
+    slots: float,
     now: float,
 ) -> bool:
-    """Tell whether the least groups that each Lot still wants fit, by due times."""
+    """Return whether the groups that each Lot still wants can be whole when it is due.
+
+    Of each Lot the groups that need the least time count.
+    """
     needed = 0.0
-    for progress in sorted(lots, key=lambda one: one.due_at):
+    for progress in sorted(lots, key=lambda lot: lot.due_at):
         missing = max(0, progress.wanted_groups - progress.whole_groups)
-        least = sorted(one.seconds for one in work[progress.lot.id].values())
-        needed += sum(least[:missing])
-        if needed > places * _time_left(progress, now):
+        shortest = sorted(group.seconds for group in work[progress.lot.id].values())
+        needed += sum(shortest[:missing])
+        if needed > slots * _time_left(progress, now):
             return False
     return True
 
 
 def _time_left(progress: LotProgress, now: float) -> float:
-    """Return the seconds until a Lot is due, or until it is worth nothing."""
+    """Return the seconds until a Lot is due, or until late groups are of no use."""
     left = progress.due_at - now
     if left > 0:
         return left
--- a/src/wigeonfront/rollout/picking.py
+++ b/src/wigeonfront/rollout/picking.py
@@ -1,27 +1,27 @@
-"""Which waiting samples are sent now, and to which engines."""
+"""Selects the waiting samples that are sent now, and their engines."""
 
 from collections.abc import Collection, Iterator
 from dataclasses import dataclass
 
 from wigeonfront.clock import Clock
 from wigeonfront.configuration import Configuration
-from wigeonfront.rollout.scheduling import Needs, Waiting, waiting_samples
-from wigeonfront.rollout.placement import OverloadWatch, SamplePlacer
+from wigeonfront.rollout.placement import OverloadMonitor, SamplePlacer
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.run import Run
+from wigeonfront.rollout.scheduling import OpenSample, WeightNeeds, waiting_samples
 from wigeonfront.targets.views import TargetView
 
 
 @dataclass(frozen=True, slots=True)
 class Pick:
-    """A sample that is sent now."""
+    """A sample that is to be sent now, and its engine."""
 
-    waiting: Waiting
+    waiting: OpenSample
     view: TargetView
 
 
 class Picker:
-    """Goes through the waiting samples in their order.
+    """Selects waiting samples in the order of their urgency.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     """
 
     def __init__(
-        self, placer: SamplePlacer, overload: OverloadWatch, clock: Clock
+        self, placer: SamplePlacer, overload: OverloadMonitor, clock: Clock
     ) -> None:
         self._placer = placer
         self._overload = overload
@@ -43,18 +43,20 @@
         runs: Collection[Run],
         configuration: Configuration,
     ) -> Iterator[Pick]:
-        """Yield samples; each must be sent before the next one is asked for.
+        """Yield samples to send; each must be sent before the next one is requested.
 
         Parameters
         ----------
         lots : collection of LotProgress
         runs : collection of Run
-            Those in progress; what is sent meanwhile shows in it.
+            A live view of the runs in progress, which includes the samples that were
+            sent since the first one was yielded.
+        configuration : Configuration
         """
         now = self._clock.monotonic()
         services = _services(lots, configuration)
         ranks = self._overload.ranks(lots, services, now)
-        full: set[tuple[str, Needs]] = set()
+        full: set[tuple[str, WeightNeeds]] = set()
         for waiting in waiting_samples(list(lots), now, ranks):
             service = services.get(waiting.progress.lot.id)
             if service is None or (service, waiting.needs) in full:
@@ -65,7 +67,8 @@
             if view is not None:
                 yield Pick(waiting, view)
             elif not waiting.needs.text_version:
-                # Whether a text is waited for is decided for each sample.
+                # A sample whose text is bound to a version is decided on its own:
+                # its text may be dropped while those of others are kept.
                 full.add((service, waiting.needs))
 
 
@@ -73,14 +76,14 @@
     lots: Collection[LotProgress], configuration: Configuration
 ) -> dict[str, str]:
     """Return the service of each Lot that has a route."""
-    found = {}
+    services = {}
     for progress in lots:
         route = configuration.find(progress.lot.host, progress.lot.prefix)
         if route is not None:
-            found[progress.lot.id] = route.shares[0].service
-    return found
+            services[progress.lot.id] = route.shares[0].service
+    return services
 
 
 def _group_targets(runs: Collection[Run], group: str) -> frozenset[str]:
-    """Return the engines that have samples of a group."""
+    """Return the ids of the engines that run samples of a group."""
     return frozenset(run.target_id for run in runs if run.state.sample.group == group)
--- a/src/wigeonfront/rollout/placement.py
+++ b/src/wigeonfront/rollout/placement.py
@@ -1,4 +1,4 @@
-"""Where samples run: the decisions of `order`, taken on what is known now."""
+"""Chooses engines for samples: applies the rules of `scheduling` to current data."""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -6,31 +6,34 @@
 from wigeonfront.clock import Clock
 from wigeonfront.configuration import Configuration
 from wigeonfront.observability.logs import event
-from wigeonfront.rollout.scheduling import (
-    TOKEN_SECONDS,
-    UNKNOWN_TOKENS,
-    Waiting,
-    choose_engine,
-    expected_seconds,
-    should_move,
-    usable_engines,
-)
 from wigeonfront.rollout.overload import (
     GroupKey,
     GroupRank,
     WorkEstimate,
-    places_for,
+    available_slots,
     ranks_in_overload,
     seconds_left,
 )
 from wigeonfront.rollout.progress import LotProgress, SampleState
+from wigeonfront.rollout.scheduling import (
+    TOKEN_SECONDS,
+    UNKNOWN_TOKENS,
+    OpenSample,
+    choose_engine,
+    expected_seconds,
+    should_move,
+    usable_engines,
+)
 from wigeonfront.targets.table import MOST_LOOKED_AT, TargetTable
 from wigeonfront.targets.views import TargetView
 
 logger = logging.getLogger(__name__)
 
-LOOK_SECONDS = 0.25
-"""Pause between two looks whether places suffice: half of all samples last longer."""
+OVERLOAD_CHECK_SECONDS = 0.25
+"""Interval between two checks whether the slots suffice.
+
+Half of all samples take longer.
+"""
 
 
 class SamplePlacer:
@@ -56,40 +59,44 @@
 
     def place(
         self,
-        waiting: Waiting,
+        waiting: OpenSample,
         service: str,
         group_targets: frozenset[str],
         shared: bool = False,
     ) -> TargetView | None:
         """Return the engine that a sample should be sent to now, if any.
 
-        A text that must go on at its version is dropped once that is in vain.
+        A text that only its own version may continue is dropped once it is no longer
+        worth waiting for an engine with that version.
 
         Parameters
         ----------
+        waiting : OpenSample
+        service : str
+            Service of the engines.
         group_targets : frozenset of str
-            Engines that have samples of the same group.
+            Ids of the engines that run samples of the same group.
         shared : bool
-            Places are short, and other owners get their share of them.
+            Slots are short, and other owners get their share of them.
         """
-        # Whatever has the version of its text may go on with it.
-        most = None if waiting.needs.text_version else MOST_LOOKED_AT
-        views = self._table.views(service, most)
+        # All engines are considered where any of them may have the text's version.
+        limit = None if waiting.needs.text_version else MOST_LOOKED_AT
+        views = self._table.views(service, limit)
         chosen = self._choose(waiting, views, service, group_targets, shared)
-        if chosen is None and len(views) == most:
+        if chosen is None and len(views) == limit:
             views = self._table.views(service)
             chosen = self._choose(waiting, views, service, group_targets, shared)
         return chosen
 
     def _choose(
         self,
-        waiting: Waiting,
+        waiting: OpenSample,
         views: list[TargetView],
         service: str,
         group_targets: frozenset[str],
         shared: bool,
     ) -> TargetView | None:
-        if self._in_vain(waiting, views, service):
+        if self._should_drop_text(waiting, views, service):
             event(
                 logger,
                 "text_dropped",
@@ -111,14 +118,15 @@
     def ranks(
         self, lots: Sequence[LotProgress], service: str, ratio: float
     ) -> dict[GroupKey, GroupRank]:
-        """Return the order of groups if the engines can't run all in time.
+        """Return the ranks of groups; empty if the engines can run all in time.
 
         Parameters
         ----------
         lots : sequence of LotProgress
-            Of the service.
+            Lots of the service.
+        service : str
         ratio : float
-            Seconds of a run for each expected second.
+            Seconds that a run takes for each expected second.
         """
         event_seconds = self._tokens_for_event(service) * TOKEN_SECONDS
 
@@ -126,15 +134,17 @@
             done = state.text.last_id * event_seconds
             return ratio * seconds_left(expected_seconds(state), done)
 
-        places = places_for(self._table.views(service))
-        return ranks_in_overload(lots, places, self._clock.monotonic(), seconds)
+        slots = available_slots(self._table.views(service))
+        return ranks_in_overload(lots, slots, self._clock.monotonic(), seconds)
 
-    def _in_vain(self, waiting: Waiting, views: list[TargetView], service: str) -> bool:
-        """Tell whether a text that binds its sample should no longer be waited for.
+    def _should_drop_text(
+        self, waiting: OpenSample, views: list[TargetView], service: str
+    ) -> bool:
+        """Return whether a text that only one version may continue should be dropped.
 
-        No engine has its version, or it has waited, or been refused, for as long as
-        generating it anew takes: so waiting costs at most as much again as the better
-        choice would.
+        It should if no engine has the version, or if the sample has waited, or was
+        refused, for as long as generating the text again takes. Waiting thus costs at
+        most twice as much as the better choice.
         """
         needs, state = waiting.needs, waiting.state
         if not needs.text_version:
@@ -145,19 +155,23 @@
         waited = self._clock.monotonic() - state.waits_since
         return waited >= tokens * TOKEN_SECONDS
 
-    def should_move(self, running: Waiting, view: TargetView, pace: float) -> bool:
-        """Tell whether a sample that runs at an engine should go on elsewhere.
+    def should_move(self, running: OpenSample, view: TargetView, pace: float) -> bool:
+        """Return whether a running sample should be continued on another engine.
 
         Parameters
         ----------
+        running : OpenSample
+            The sample of the run.
+        view : TargetView
+            The engine that runs it.
         pace : float
-            Seconds for each of the run's last events.
+            Seconds per event over the run's last events.
         """
         state = running.state
         events = max(1, state.text.last_id)
         tokens_for_event = self._tokens_for_event(view.target.service)
         expected = state.sample.expected_tokens or UNKNOWN_TOKENS
-        # An estimate that is passed says little: as much again may follow.
+        # Once more than the estimate is generated, as much again is expected.
         left = max(expected - events * tokens_for_event, events * tokens_for_event)
         usable = usable_engines(
             self._table.views(view.target.service, MOST_LOOKED_AT),
@@ -167,7 +181,7 @@
         others = [
             other
             for other in usable
-            # One that is about to load would refuse the run.
+            # An engine that is about to load other weights would refuse the run.
             if other.target.id != view.target.id
             and state.sample.model not in other.closing
         ]
@@ -175,14 +189,14 @@
 
     def _tokens_for_event(self, service: str) -> float:
         configuration = self._configuration()
-        found = configuration and configuration.services.get(service)
-        return float(found.event_tokens) if found else 1.0
+        settings = configuration and configuration.services.get(service)
+        return float(settings.event_tokens) if settings else 1.0
 
 
-class OverloadWatch:
-    """The order of groups while engines are short of places, looked at now and then.
+class OverloadMonitor:
+    """Checks periodically which services are short of slots, and ranks their groups.
 
-    Not thread-safe; its owner locks it.
+    It is not thread-safe; the caller must hold a lock.
 
     Parameters
     ----------
@@ -191,31 +205,32 @@
     Attributes
     ----------
     work : WorkEstimate
-        Learns what runs take.
+        Ratio of the time that runs take to the expected time.
     """
 
     def __init__(self, placer: SamplePlacer) -> None:
         self._placer = placer
         self.work = WorkEstimate()
-        self._looked_at = -1e9
+        self._checked_at = -1e9
         self._ranks: dict[GroupKey, GroupRank] = {}
         self._short: frozenset[str] = frozenset()
 
     def ranks(
         self, lots: Iterable[LotProgress], services: Mapping[str, str], now: float
     ) -> dict[GroupKey, GroupRank]:
-        """Return the order of groups of the services that are short of places.
+        """Return the ranks of groups of the services that are short of slots.
 
         Parameters
         ----------
+        lots : iterable of LotProgress
         services : mapping of str to str
             Service of each Lot, by its id.
         now : float
             Monotonic time.
         """
-        if now - self._looked_at < LOOK_SECONDS:
+        if now - self._checked_at < OVERLOAD_CHECK_SECONDS:
             return self._ranks
-        self._looked_at = now
+        self._checked_at = now
         by_service: dict[str, list[LotProgress]] = {}
         for progress in lots:
             service = services.get(progress.lot.id)
@@ -223,18 +238,18 @@
                 by_service.setdefault(service, []).append(progress)
         self._ranks = {}
         short = set()
-        for service, shared in by_service.items():
-            found = self._placer.ranks(shared, service, self.work.ratio)
-            if found:
+        for service, service_lots in by_service.items():
+            ranks = self._placer.ranks(service_lots, service, self.work.ratio)
+            if ranks:
                 short.add(service)
-                self._ranks.update(found)
+                self._ranks.update(ranks)
         self._log(frozenset(short), by_service)
         return self._ranks
 
     def _log(
         self, short: frozenset[str], lots: Mapping[str, Sequence[LotProgress]]
     ) -> None:
-        """Log services whose places no longer suffice, or suffice again."""
+        """Log the services whose slots no longer suffice, or suffice again."""
         for service in short ^ self._short:
             event(
                 logger,
--- a/src/wigeonfront/rollout/recent_texts.py
+++ b/src/wigeonfront/rollout/recent_texts.py
@@ -1,27 +1,28 @@
-"""Texts of stopped Lots, whose samples may come again in a later Lot."""
+"""Keeps texts of stopped Lots, whose samples may be part of a later Lot."""
 
 from collections import OrderedDict
 
 from wigeonfront.rollout.events import Text
 
-MOST_RECENT_TEXTS = 2_000
+MAX_RECENT_TEXTS = 2_000
+"""Limit of the kept texts of all client accounts."""
 
 
 class RecentTexts:
-    """The texts that were kept last; not safe for use by several threads.
+    """The latest texts of stopped Lots; not thread-safe.
 
-    A sample's id is that of one client account.
+    The ids of samples are unique only within a client account.
     """
 
     def __init__(self) -> None:
         self._texts: OrderedDict[tuple[str, str], Text] = OrderedDict()
 
     def keep(self, account: str, sample_id: str, text: Text) -> None:
-        """Keep what a sample has; the oldest texts make room."""
+        """Keep a sample's text, and drop the oldest texts beyond the limit."""
         self._texts[account, sample_id] = text
-        while len(self._texts) > MOST_RECENT_TEXTS:
+        while len(self._texts) > MAX_RECENT_TEXTS:
             self._texts.popitem(last=False)
 
-    def take(self, account: str, sample_id: str) -> Text | None:
-        """Return a sample's text, and keep it no longer."""
+    def pop(self, account: str, sample_id: str) -> Text | None:
+        """Return a sample's text, if it is kept, and remove it."""
         return self._texts.pop((account, sample_id), None)
--- a/src/wigeonfront/rollout/reward_call.py
+++ b/src/wigeonfront/rollout/reward_call.py
@@ -1,4 +1,4 @@
-"""Sends one reward call to one target and tells how that ended."""
+"""Sends one reward call to one target and returns its outcome."""
 
 from dataclasses import dataclass
 from functools import singledispatch
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Scored:
-    """The target gave a score.
+    """The target returned a score.
 
     Attributes
     ----------
     score : str
     framed : bool
-        The answer told its own end; if not, one that was broken off may look whole.
+        The answer had a length or chunks, so that a cut-off answer is noticed.
     """
 
     score: str
@@ -39,28 +39,28 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """The target itself answered with a failure, which counts towards giving up."""
+    """The target answered with a failure, which counts as a failed attempt."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallRefused:
-    """The target did not run it."""
+    """The target did not execute the call."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallBroken:
-    """No usable answer came."""
+    """No usable answer arrived."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallCancelled:
-    """Nobody wants the score any more."""
+    """The call was cancelled, as the score is no longer needed."""
 
     reason: str = ""
 
@@ -69,24 +69,24 @@
 
 
 class RewardProtocol(Protocol):
-    """How a reward call is put to a target; the platform's adapter gives it."""
+    """Format of reward calls; implemented by the platform's adapter."""
 
     def reward_request(self, call: RewardCall) -> ForwardRequest:
-        """Return the request that gives a sample's score."""
+        """Return the request to a target for a sample's score."""
 
     def score(self, answer: Answered) -> str:
-        """Return the score that a target's answer gives; empty if it gives none."""
+        """Return the score in a target's answer; empty if there is none."""
 
 
 class RewardCaller:
-    """Sends reward calls, by the forwarder that plain requests use.
+    """Sends reward calls through the forwarder that plain requests use.
 
     Parameters
     ----------
     forwarder : Forwarder
     protocol : RewardProtocol
     guard : RequestGuard, optional
-        Knows the calls that must not be sent.
+        Blocks the calls that are quarantined.
     """
 
     def __init__(
@@ -111,12 +111,15 @@
 
         Parameters
         ----------
+        call : RewardCall
+        view : TargetView
+            The target.
         deadline : float
-            Monotonic time at which waiting ends.
+            Monotonic time at which the wait for an answer ends.
         run_seconds : float
-            Time that the target may work.
+            Time that the target may spend on the call.
         handle : CallHandle
-            Ends the call from outside.
+            Allows other threads to cancel the call.
         """
         request = self._protocol.reward_request(call)
         if self._guard.blocked_for(request):
--- a/src/wigeonfront/rollout/reward_scheduling.py
+++ b/src/wigeonfront/rollout/reward_scheduling.py
@@ -1,7 +1,8 @@
-"""Which reward call is sent next, where, and when again; pure functions.
+"""Decides which reward call is sent next, to which target, and when it is retried.
 
-The texts of a step end within seconds, so its reward calls come in bursts, on the
-targets that answer callers with far shorter deadlines.
+All functions are pure. The texts of a step end within seconds of each other, so that
+reward calls come in bursts. They go to targets that also serve callers whose deadlines
+are far shorter.
 """
 
 from collections.abc import Collection, Sequence
@@ -19,36 +20,44 @@
 from wigeonfront.targets.views import TargetView
 
 OWN_SHARE = 1 / 3
-"""Share of a target's places that one process takes for reward calls at first, so that
-a burst of them leaves places to callers' requests."""
+"""Share of a target's slots that one process initially uses for reward calls.
+
+A burst of reward calls thus leaves slots free for callers' requests.
+"""
 
 FULL_AFTER_SECONDS = 2.0
-"""Time that a call has waited after which it may take any place: a single owner on few
-targets would else take thrice as long as it must."""
+"""Time after which a waiting call may use any slot of a target.
+
+Without this, a single owner on few targets would take three times as long as necessary.
+"""
 
-LEAST_WAIT_SECONDS = 1.0
-"""Shortest wait for one target."""
+MIN_WAIT_SECONDS = 1.0
+"""Minimum timeout of a send to a target."""
 
 WAIT_FACTOR = 5.0
-"""Multiple of a target's usual time for which it is waited for."""
+"""Timeout of a send as a multiple of the target's usual latency."""
 
 FAILED_PAUSE_SECONDS = 0.0
-"""Pause after a failure of the target's own: the next send goes to another target."""
+"""Pause after an error response of a target: the retry goes to another target."""
 
 SLOW_SECONDS = 0.5
-"""Shortest time from which a send takes long, and a second one goes out."""
+"""Minimum time after which a send counts as slow, so that a second one is made."""
 
 SLOW_FACTOR = 2.5
-"""Multiple of a target's usual time from which a send takes long: where all targets are
-slow, second sends would only double their work."""
+"""Multiple of a target's usual latency after which a send counts as slow.
+
+The threshold follows the latency because second sends would only double the work where
+all targets are slow.
+"""
 
 REFUSED_PAUSE_SECONDS = 0.1
-"""Pause after a first refusal; it doubles."""
+"""Pause after the first refusal; it doubles with each try."""
 
-MOST_PAUSE_SECONDS = 2.0
-"""Longest pause, after which a service that was wholly down is noticed to be back."""
+MAX_PAUSE_SECONDS = 2.0
+"""Longest pause; a service that was wholly down is noticed after it at the latest."""
 
-MOST_DOUBLINGS = 6
+MAX_DOUBLINGS = 6
+"""Limit of the doublings of timeouts and pauses."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,11 +71,12 @@
 def due_calls(lots: Sequence[LotProgress], now: float) -> list[DueCall]:
     """Return the calls that may be sent, the most urgent first.
 
-    A group counts only once it is whole, so the call goes first whose group lacks the
-    fewest results, and of equals the one that has waited longest.
+    A group counts only once it is whole. Calls are therefore sorted by the number of
+    results that their group lacks, and among equals by the time that they have waited.
 
     Parameters
     ----------
+    lots : sequence of LotProgress
     now : float
         Monotonic time.
     """
@@ -93,35 +103,37 @@
     failure_domain: str,
     waited: float = 0.0,
 ) -> TargetView | None:
-    """Return the target for a reward call, or ``None`` if none has room.
+    """Return the target for a reward call, or ``None`` if none has a free slot.
 
     Parameters
     ----------
+    views : sequence of TargetView
     own_calls : dict of str to int
         Reward calls of this process in progress, by target.
     tried : collection of str
-        Targets that have given this call no score; used again once all have.
+        Ids of the targets to which this call was sent without getting a score. They
+        are used again only while no other target has a free slot.
     failure_domain : str
-        Where this process is.
+        Failure domain of this process.
     waited : float
         Seconds for which the call has been due.
     """
     with_room = [
         view
         for view in views
-        if own_calls.get(view.target.id, 0) < most_own_calls(view.target.slots, waited)
+        if own_calls.get(view.target.id, 0) < max_own_calls(view.target.slots, waited)
     ]
     fresh = [view for view in with_room if view.target.id not in tried]
     return choose_target(fresh or with_room, (), failure_domain)
 
 
-def most_own_calls(slots: int, waited: float) -> int:
-    """Return how many reward calls one process has at a target at most.
+def max_own_calls(slots: int, waited: float) -> int:
+    """Return the limit of one process's reward calls in progress at a target.
 
     Parameters
     ----------
     slots : int
-        The target's places.
+        Capacity of the target.
     waited : float
         Seconds for which the next call has been due.
     """
@@ -129,39 +141,39 @@
     return max(1, int((OWN_SHARE + (1 - OWN_SHARE) * grown) * slots))
 
 
-def most_wait(latency: float, tries: int, longest: float) -> float:
-    """Return the seconds for which a target is waited for.
+def max_wait(latency: float, tries: int, longest: float) -> float:
+    """Return the timeout in seconds of a send to a target.
 
-    Each try waits twice as long as the one before: a call that takes long everywhere
-    must end in the end.
+    The timeout doubles with each try, so that a call that takes long on every target
+    can still be answered.
 
     Parameters
     ----------
     latency : float
-        Smoothed seconds that the target takes for an answer; 0 if unknown.
+        Smoothed seconds until an answer of the target; 0 if unknown.
     tries : int
-        Sends that have ended without a score.
+        Number of sends that ended without a score.
     longest : float
-        Seconds that the route allows.
+        Upper limit of the timeout in seconds.
     """
-    base = max(LEAST_WAIT_SECONDS, WAIT_FACTOR * latency)
-    return min(base * 2 ** min(tries, MOST_DOUBLINGS), longest)
+    base = max(MIN_WAIT_SECONDS, WAIT_FACTOR * latency)
+    return min(base * 2 ** min(tries, MAX_DOUBLINGS), longest)
 
 
 def slow_after(latency: float) -> float:
-    """Return the seconds from which a send takes long, and a second one goes out.
+    """Return the seconds after which a send counts as slow and a second one is made.
 
     Parameters
     ----------
     latency : float
-        Smoothed seconds that the target takes for an answer; 0 if unknown.
+        Smoothed seconds until an answer of the target; 0 if unknown.
     """
     return max(SLOW_SECONDS, SLOW_FACTOR * latency)
 
 
 @singledispatch
 def pause_after(outcome: CallOutcome, tries: int) -> float:
-    """Return the seconds until a call without a score is sent again."""
+    """Return the pause in seconds until a call that got no score is retried."""
     return 0.0
 
 
@@ -177,9 +189,9 @@
 
 @pause_after.register
 def _(outcome: CallBroken, tries: int) -> float:
-    # The first other target is asked at once.
+    # The first retry goes to another target at once.
     return _doubled(REFUSED_PAUSE_SECONDS, tries) if tries > 1 else 0.0
 
 
 def _doubled(pause: float, tries: int) -> float:
-    return min(pause * 2 ** min(max(0, tries - 1), MOST_DOUBLINGS), MOST_PAUSE_SECONDS)
+    return min(pause * 2 ** min(max(0, tries - 1), MAX_DOUBLINGS), MAX_PAUSE_SECONDS)
--- a/src/wigeonfront/rollout/run.py
+++ b/src/wigeonfront/rollout/run.py
@@ -1,16 +1,16 @@
-"""A run in progress of a sample on an engine."""
+"""The state of one run of a sample on an engine."""
 
 from dataclasses import dataclass
 
-from wigeonfront.rollout.scheduling import PACE_EVENTS
 from wigeonfront.rollout.progress import LotProgress, SampleState
 from wigeonfront.rollout.sample_run import RunHandle
+from wigeonfront.rollout.scheduling import PACE_EVENTS
 from wigeonfront.targets.views import TargetView
 
 
 @dataclass(slots=True)
 class Run:
-    """One run.
+    """A run in progress.
 
     Attributes
     ----------
@@ -20,7 +20,8 @@
         The engine as it was when the run was sent there.
     handle : RunHandle
     events : int
-        Events since the pace was taken last, with the one at which it was taken.
+        Events since the last measurement of the pace, including the event at which
+        it took place.
     paced_at : float
         Monotonic time of that event.
     """
@@ -39,11 +40,22 @@
 
     @property
     def target_id(self) -> str:
-        """The engine that runs it."""
+        """The id of the engine that runs the sample."""
         return self.view.target.id
 
     def note_event(self, now: float) -> float | None:
-        """Count an event; return the pace in seconds an event, once it is due."""
+        """Count an event, and return the pace when its measurement is due.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic time.
+
+        Returns
+        -------
+        float or None
+            Seconds per event since the last measurement; ``None`` between measurements.
+        """
         if not self.events:
             self.paced_at = now
         self.events += 1
--- a/src/wigeonfront/rollout/run_log.py
+++ b/src/wigeonfront/rollout/run_log.py
@@ -1,4 +1,4 @@
-"""What is told of the runs of samples: log lines and metrics."""
+"""Log lines and metrics about the runs of samples."""
 
 import logging
 
@@ -11,7 +11,7 @@
 
 
 class RunLog:
-    """Tells of runs.
+    """Writes log lines and metrics about runs.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
         )
 
     def sent(self, run: Run) -> None:
-        """Tell that a run begins."""
+        """Log the start of a run."""
         state = run.state
         event(
             logger,
@@ -44,7 +44,14 @@
         )
 
     def moved(self, run: Run, pace: float) -> None:
-        """Tell that a run ends here, too slow, to go on elsewhere."""
+        """Log that a slow run is moved to another engine.
+
+        Parameters
+        ----------
+        run : Run
+        pace : float
+            Seconds per event over the run's last events.
+        """
         event(
             logger,
             "sample_moved",
@@ -57,7 +64,17 @@
         )
 
     def ended(self, run: Run, outcome: RunOutcome, seconds: float, events: int) -> None:
-        """Tell how a run has ended, and what it generated."""
+        """Log and count the outcome of a run.
+
+        Parameters
+        ----------
+        run : Run
+        outcome : RunOutcome
+        seconds : float
+            Duration of the run.
+        events : int
+            Events that the run generated.
+        """
         state = run.state
         name = type(outcome).__name__
         self._count.increment(outcome=name)
--- a/src/wigeonfront/rollout/run_outcomes.py
+++ b/src/wigeonfront/rollout/run_outcomes.py
@@ -1,4 +1,4 @@
-"""How a run of a sample ends, and what that says of its engine."""
+"""The outcomes of a run of a sample, and what they say about the engine's health."""
 
 from dataclasses import dataclass
 from functools import singledispatch
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRefused:
-    """The engine did not run it.
+    """The engine did not run the sample.
 
     Attributes
     ----------
@@ -21,7 +21,7 @@
     reached : bool
         The engine, or another incarnation of it, answered.
     replaced : bool
-        It was another incarnation.
+        Another incarnation answered.
     """
 
     reason: str
@@ -31,19 +31,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RunBroken:
-    """The run ended early; what it generated is in the text."""
+    """The run ended early; the sample's text holds what the run generated."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class RunSilent:
-    """No event came in time.
+    """The first event did not arrive before its timeout.
 
     Attributes
     ----------
     full : bool
-        All places of the engine were taken, so the run may only have waited.
+        All slots of the engine were taken, so that the run may only have waited.
     """
 
     full: bool = False
@@ -51,26 +51,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFailed:
-    """The engine answered with an error, which counts as an attempt."""
+    """The engine answered with an error, which counts as a failed attempt."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class RunImpossible:
-    """The engine says that the sample can never be generated."""
+    """The engine answered that the sample can never be generated."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunTooOld:
-    """The engine's weights do not fit the Lot's bounds."""
+    """The version of the engine's weights does not fit the bounds of the Lot."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class RunQuarantined:
-    """The sample was not sent, as it crashes engines.
+    """The sample was not sent, as it is suspected of crashing engines.
 
     Attributes
     ----------
@@ -83,12 +83,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RunMoved:
-    """The run was ended here to go on at another engine."""
+    """The run was ended in order to be continued on another engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunCancelled:
-    """The run was ended because nobody wants its sample any more."""
+    """The run was ended because its sample is no longer needed."""
 
 
 RunOutcome = (
@@ -107,7 +107,7 @@
 
 @singledispatch
 def evidence(outcome: RunOutcome) -> Evidence:
-    """Return what the end of a run says about the health of its engine."""
+    """Return what the outcome of a run says about the health of its engine."""
     return "success"
 
 
@@ -140,7 +140,7 @@
 
 @singledispatch
 def detail(outcome: RunOutcome) -> object:
-    """Return what a log line tells of an outcome beside its name."""
+    """Return the detail of an outcome that log lines give beside its name."""
     return ""
 
 
--- a/src/wigeonfront/rollout/runner.py
+++ b/src/wigeonfront/rollout/runner.py
@@ -1,9 +1,9 @@
 """Runs the Lots that this process owns.
 
-Threads: one that sends what waits, one that keeps results (`ResultKeeper`), one that
-spools them meanwhile (`ResultSpooler`), one that sends reward calls (`Scoring`), and
-one for each run and each call. They meet in `LotRunner`, whose lock guards the
-`LotProgress` objects.
+One thread sends waiting samples, one writes results to the store (`ResultKeeper`), one
+writes results to the spool while the store does not take them (`ResultSpooler`), and
+one sends reward calls (`Scoring`). Each run and each reward call has a thread of its
+own. All share the `LotProgress` objects, which the lock of `LotRunner` guards.
 """
 
 import logging
@@ -16,20 +16,14 @@
 from wigeonfront.coordination.membership import Presence
 from wigeonfront.observability.logs import event
 from wigeonfront.observability.metrics import Registry
-from wigeonfront.rollout.after_run import GiveUp, TextWhole, outcome_of, settle
+from wigeonfront.rollout.after_run import GiveUp, TextWhole, next_step, outcome_of
 from wigeonfront.rollout.events import Text
 from wigeonfront.rollout.inheritance import NOTHING, Inheritance, begin_progress
 from wigeonfront.rollout.keeping import ResultKeeper
 from wigeonfront.rollout.lot import Lot, SampleResult
-from wigeonfront.rollout.scheduling import (
-    SNAPSHOT_EVENTS,
-    Waiting,
-    expected_seconds,
-    first_event_wait,
-)
 from wigeonfront.rollout.owner_calls import OwnedResults, ResultsInDoubt
 from wigeonfront.rollout.picking import Picker
-from wigeonfront.rollout.placement import OverloadWatch, SamplePlacer
+from wigeonfront.rollout.placement import OverloadMonitor, SamplePlacer
 from wigeonfront.rollout.progress import LotProgress, SampleState
 from wigeonfront.rollout.recent_texts import RecentTexts
 from wigeonfront.rollout.repository import LotRepository
@@ -45,6 +39,12 @@
     evidence,
 )
 from wigeonfront.rollout.sample_run import RunHandle, SampleRunner
+from wigeonfront.rollout.scheduling import (
+    SNAPSHOT_EVENTS,
+    OpenSample,
+    expected_seconds,
+    first_event_wait,
+)
 from wigeonfront.rollout.scoring import Scoring, completed
 from wigeonfront.rollout.spooling import ResultSpooler
 from wigeonfront.spool import SpoolClient, SpoolMember
@@ -54,17 +54,20 @@
 logger = logging.getLogger(__name__)
 
 IDLE_WAIT_SECONDS = 0.5
-"""Longest sleep of the sending thread; everything that matters wakes it."""
+"""Longest sleep of the sending thread; each change that concerns it wakes it."""
 
-PLACE_WAIT_SECONDS = 0.05
-"""Pause of the sending thread while samples wait for a place."""
+SLOT_WAIT_SECONDS = 0.05
+"""Pause of the sending thread while samples wait for a slot."""
 
 DOUBT_WAIT_SECONDS = 0.3
-"""How long a reader waits in any case for the answer to a write that may have put the
-results it asks for into the store: many times what a write takes."""
+"""Minimum time for which a reader waits for the answer to a write in doubt.
 
-LEAST_RUN_SECONDS = 1.0
-"""Time that a run gets though its sample may be given up sooner."""
+The write may have put the results that the reader asks for into the store. The wait is
+many times what a write takes.
+"""
+
+MIN_RUN_SECONDS = 1.0
+"""Minimum time limit of a run, even if its sample may be given up sooner."""
 
 
 class LotRunner:
@@ -80,7 +83,7 @@
     configuration : callable
         Returns the configuration in force, or ``None``.
     failure_domain : str
-        Where this process is.
+        Failure domain of this process.
     random : random.Random
         Draws the services of split routes.
     clock : Clock
@@ -91,9 +94,9 @@
     Attributes
     ----------
     keeper : ResultKeeper
-        Keeps what the runs generate.
+        Writes what the runs generate to the store.
     spooler : ResultSpooler
-        Puts results on disks that the store does not take.
+        Writes results to disks while the store does not take them.
     scoring : Scoring
         Gets the scores of whole texts.
     """
@@ -117,16 +120,16 @@
         self._samples = samples
         self._configuration = configuration
         self._placer = SamplePlacer(table, configuration, clock)
-        self._overload = OverloadWatch(self._placer)
+        self._overload = OverloadMonitor(self._placer)
         self._picker = Picker(self._placer, self._overload, clock)
         self._clock = clock
         self._lock = threading.RLock()
         self._work = threading.Condition(self._lock)
         self._results = threading.Condition(self._lock)
         self._lots: dict[str, LotProgress] = {}
-        # By the client account and the id of the sample.
+        # Key: client account and id of the sample.
         self._runs: dict[tuple[str, str], Run] = {}
-        # Revision of the head row under which each Lot was last run here.
+        # Revision of the head row under which this process last ran each Lot.
         self._run_revisions: dict[str, int] = {}
         self._recent = RecentTexts()
         self._log = RunLog(metrics)
@@ -159,10 +162,21 @@
             "samples_running", "Runs in progress.", lambda: float(len(self._runs))
         )
 
-    # --- Lots come and go ----------------------------------------------------
+    # --- Start and end of Lots -----------------------------------------------
 
     def adopt(self, lot: Lot, head_revision: int, left: Inheritance = NOTHING) -> None:
-        """Begin to run a Lot that this process owns; a second time changes nothing."""
+        """Begin to run a Lot that this process owns.
+
+        The call has no effect if the Lot is known under this or a later revision.
+
+        Parameters
+        ----------
+        lot : Lot
+        head_revision : int
+            Revision of the Lot's head row; 0 while the row is not written.
+        left : Inheritance, optional
+            Results and texts that an earlier owner left.
+        """
         now = self._clock.monotonic()
         with self._lock:
             known = self._lots.get(lot.id)
@@ -178,11 +192,11 @@
             for state in whole:
                 self._text_ended(progress, state)
             self._work.notify_all()
-            # Results that a disk had are to be kept, and then shown.
+            # Results from a disk are shown only after the store has them.
             self._results.notify_all()
 
-    def settle(self, lot_id: str, head_revision: int) -> None:
-        """Note that the head row of a deferred Lot is written."""
+    def note_head_written(self, lot_id: str, head_revision: int) -> None:
+        """Note the revision at which a deferred Lot's head row was written."""
         with self._lock:
             progress = self._lots.get(lot_id)
             if progress is not None and progress.deferred:
@@ -191,10 +205,12 @@
                 self._results.notify_all()
 
     def deferred(self) -> list[tuple[Lot, tuple[SpoolMember, ...]]]:
-        """Return the Lots whose head rows are to be written, with their disks."""
+        """Return the Lots whose head rows are still to be written, with their disks."""
         with self._lock:
             return [
-                (one.lot, one.spools) for one in self._lots.values() if one.deferred
+                (progress.lot, progress.spools)
+                for progress in self._lots.values()
+                if progress.deferred
             ]
 
     def owned(self, lot_id: str) -> LotProgress | None:
@@ -203,7 +219,14 @@
             return self._lots.get(lot_id)
 
     def has_run(self, lot_id: str, head_revision: int) -> bool:
-        """Tell whether this process has run a Lot under a revision of its head row."""
+        """Return whether this process has run a Lot under this or a later revision.
+
+        Parameters
+        ----------
+        lot_id : str
+        head_revision : int
+            Revision of the Lot's head row.
+        """
         with self._lock:
             return self._run_revisions.get(lot_id, -1) >= head_revision
 
@@ -213,12 +236,24 @@
             return set(self._lots)
 
     def has_open_lots(self) -> bool:
-        """Return whether an owned Lot has samples without a kept result."""
+        """Return whether an owned Lot has samples whose results the store lacks."""
         with self._lock:
             return any(not progress.finished for progress in self._lots.values())
 
     def stop_lot(self, lot_id: str, reason: str) -> LotProgress | None:
-        """End all runs of a Lot and give it up."""
+        """End all runs and reward calls of a Lot, and remove it from the owned Lots.
+
+        Parameters
+        ----------
+        lot_id : str
+        reason : str
+            Reason for the log.
+
+        Returns
+        -------
+        LotProgress or None
+            Progress of the Lot; ``None`` if this process does not run it.
+        """
         with self._lock:
             progress = self._lots.pop(lot_id, None)
             if progress is None:
@@ -231,7 +266,7 @@
             self._results.notify_all()
         for run in runs:
             run.handle.cancel()
-        calls = self.scoring.drop(progress)
+        calls = self.scoring.cancel_calls(progress)
         event(
             logger,
             "lot_stopped",
@@ -243,7 +278,7 @@
         return progress
 
     def texts_of(self, progress: LotProgress) -> dict[str, Text]:
-        """Return what broken runs of a stopped Lot have generated."""
+        """Return the texts of a stopped Lot's unfinished samples, by their ids."""
         with self._lock:
             return {
                 id: state.text.copy()
@@ -254,14 +289,17 @@
     def read(
         self, lot_id: str, after: int, wait: float
     ) -> OwnedResults | ResultsInDoubt | None:
-        """Return the results from `after` on that outlive this process.
+        """Return the results from `after` on that the store or the disks have.
 
-        ``None`` where it does not run the Lot.
+        Return ``None`` if this process does not run the Lot.
 
         Parameters
         ----------
+        lot_id : str
+        after : int
+            Position from which results are returned.
         wait : float
-            Longest time, in seconds, to wait for a result.
+            Maximum time in seconds to wait for a result.
         """
         now = self._clock.monotonic()
         deadline, doubt_deadline = now + wait, now + max(wait, DOUBT_WAIT_SECONDS)
@@ -276,16 +314,16 @@
                 until = doubt_deadline if doubtful else deadline
                 remaining = until - self._clock.monotonic()
                 if remaining <= 0 and doubtful:
-                    return ResultsInDoubt("results that may be read are not kept")
+                    return ResultsInDoubt("results that may be read are in doubt")
                 if len(shown) > after or after >= total or remaining <= 0:
                     whole = len(shown) <= len(progress.kept)
                     return OwnedResults(total, shown[after:], whole)
                 self._results.wait(remaining)
 
-    # --- sending -------------------------------------------------------------
+    # --- Sending of samples --------------------------------------------------
 
     def send_loop(self, stop: threading.Event) -> None:
-        """Send waiting samples while there is room (a supervisor's task)."""
+        """Send waiting samples while slots are free (run as a supervised task)."""
         while not stop.is_set():
             with self._lock:
                 started = self._send_waiting()
@@ -293,7 +331,7 @@
                     self._work.wait(self._pause())
 
     def wake(self) -> None:
-        """Look at once whether more can be sent."""
+        """Check at once whether more samples can be sent."""
         with self._lock:
             self._work.notify_all()
 
@@ -303,7 +341,7 @@
             for progress in self._lots.values()
             for state in progress.open.values()
         )
-        return PLACE_WAIT_SECONDS if waiting else IDLE_WAIT_SECONDS
+        return SLOT_WAIT_SECONDS if waiting else IDLE_WAIT_SECONDS
 
     def _send_waiting(self) -> bool:
         configuration = self._configuration()
@@ -319,11 +357,11 @@
             started = True
         return started
 
-    def _start(self, waiting: Waiting, view: TargetView) -> None:
+    def _start(self, waiting: OpenSample, view: TargetView) -> None:
         state = waiting.state
         state.running = True
-        patience = first_event_wait(view, state.silent_runs)
-        run = Run(waiting.progress, state, view, RunHandle(patience))
+        first_event_seconds = first_event_wait(view, state.silent_runs)
+        run = Run(waiting.progress, state, view, RunHandle(first_event_seconds))
         self._runs[run.key] = run
         self._table.started(view.target.id, state.sample.model)
         self._log.sent(run)
@@ -332,7 +370,7 @@
         ).start()
 
     def _give_up_late(self) -> None:
-        """Give up samples that have waited for longer than the operator allows."""
+        """Give up the waiting samples of Lots whose time limit has passed."""
         now = self._clock.monotonic()
         for progress in self._lots.values():
             if now < progress.gives_up_at or not progress.open:
@@ -341,7 +379,7 @@
                 if not state.running and not state.call.sends:
                     self._finish(progress, _terminated(state), "too late")
 
-    # --- one run -------------------------------------------------------------
+    # --- Life of a run -------------------------------------------------------
 
     def _run(self, run: Run) -> None:
         lot = run.progress.lot
@@ -355,7 +393,7 @@
                 state.sample,
                 state.text,
                 run.view.target,
-                max(LEAST_RUN_SECONDS, run.progress.gives_up_at - started),
+                max(MIN_RUN_SECONDS, run.progress.gives_up_at - started),
                 run.handle,
                 lambda version: self._on_event(run, version),
             )
@@ -365,7 +403,7 @@
             self._ended(run, outcome, seconds, events)
 
     def _on_event(self, run: Run, version: int) -> None:
-        """Note an event; now and then take the run's pace and move it if it is slow."""
+        """Note an event; measure the run's pace when it is due and move a slow run."""
         now = self._clock.monotonic()
         state = run.state
         if state.text.last_id - state.snapshot_id >= SNAPSHOT_EVENTS:
@@ -377,7 +415,7 @@
         if pace is None:
             return
         self._table.paced(run.target_id, pace)
-        running = Waiting(run.progress, run.state)
+        running = OpenSample(run.progress, run.state)
         if run.handle.moved or not self._placer.should_move(running, run.view, pace):
             return
         run.state.moves += 1
@@ -406,14 +444,14 @@
 
     def _settle(self, run: Run, outcome: RunOutcome) -> None:
         state, progress = run.state, run.progress
-        step = settle(outcome, run, self._table, self._clock.monotonic())
+        step = next_step(outcome, run, self._table, self._clock.monotonic())
         if isinstance(step, TextWhole):
             self._text_ended(progress, state)
         elif isinstance(step, GiveUp):
             self._finish(progress, _terminated(state), step.reason)
 
     def _text_ended(self, progress: LotProgress, state: SampleState) -> None:
-        """Take the result of a whole text, or have it scored first."""
+        """Finish a sample whose text is whole, or request its score first."""
         if state.sample.reward_call is None:
             self._finish(progress, completed(state), "completed")
             return
--- a/src/wigeonfront/rollout/sample_run.py
+++ b/src/wigeonfront/rollout/sample_run.py
@@ -1,4 +1,4 @@
-"""Runs one sample on one engine and tells how the run ended."""
+"""Runs one sample on one engine and returns the outcome of the run."""
 
 import http.client
 from collections.abc import Callable
@@ -35,7 +35,7 @@
 from wigeonfront.targets.target import Target
 
 EVENT_SECONDS = 1.0
-"""Longest silence between events: over ten times what a full and slow engine takes."""
+"""Timeout between two events: over ten times what a full and slow engine takes."""
 
 OK = 200
 UNPROCESSABLE = 422
@@ -43,7 +43,7 @@
 
 
 class SampleProtocol(Protocol):
-    """How a sample is put to an engine; the platform's adapter gives it."""
+    """Format of requests for samples; implemented by the platform's adapter."""
 
     version_field: bytes
 
@@ -51,30 +51,30 @@
         """Return the request that generates the events after `after`."""
 
     def answer_version(self, headers: HTTPHeaderDict) -> int:
-        """Return the version at which an answer begins; 0 if it says none."""
+        """Return the weights' version at which an answer begins; 0 if it names none."""
 
 
 class RunHandle(CallHandle):
-    """Lets another thread end a run.
+    """Allows another thread to end a run.
 
     Parameters
     ----------
-    patience : float
-        Seconds for which the run's first event is waited for.
+    first_event_seconds : float
+        Timeout in seconds for the run's first event.
 
     Attributes
     ----------
     moved : bool
-        The run was ended in order to go on elsewhere.
+        The run was ended in order to be continued on another engine.
     """
 
-    def __init__(self, patience: float) -> None:
+    def __init__(self, first_event_seconds: float) -> None:
         super().__init__()
-        self.patience = patience
+        self.first_event_seconds = first_event_seconds
         self.moved = False
 
     def move(self) -> None:
-        """End the run in order to go on elsewhere."""
+        """End the run in order to continue it on another engine."""
         self.moved = True
         self.interrupt()
 
@@ -88,7 +88,7 @@
     protocol : SampleProtocol
     clock : Clock
     guard : RequestGuard, optional
-        Knows the samples that must not be sent.
+        Blocks the samples that are quarantined.
     """
 
     def __init__(
@@ -113,25 +113,30 @@
         handle: RunHandle,
         on_event: Callable[[int], None],
     ) -> RunOutcome:
-        """Run `sample` at `target` and add what it generates to `text`.
+        """Run `sample` on `target` and add the generated events to `text`.
 
         Parameters
         ----------
+        lot : Lot
+        sample : Sample
+        text : Text
+            What earlier runs have generated; this run continues it.
+        target : Target
         seconds : float
-            Time that the run may take.
+            Time limit of the run.
         handle : RunHandle
-            Ends the run from outside.
+            Allows other threads to end the run.
         on_event : callable
-            Called with the version of each event.
+            Called after each event with the version that generated it.
         """
         request = self._protocol.sample_request(lot, sample, text.last_id)
         blocked = self._guard.sample_blocked_for(request)
         if blocked:
             return RunQuarantined(blocked)
-        first = min(handle.patience, seconds)
-        head_by = self._clock.monotonic() + first
+        head_seconds = min(handle.first_event_seconds, seconds)
+        head_deadline = self._clock.monotonic() + head_seconds
         call = self._exchange.open(
-            request, target, head_by, run_seconds=seconds, handle=handle
+            request, target, head_deadline, run_seconds=seconds, handle=handle
         )
         if isinstance(call, NotExecuted):
             return RunRefused(call.reason, call.status != 0, call.replaced)
--- a/src/wigeonfront/rollout/scheduling.py
+++ b/src/wigeonfront/rollout/scheduling.py
@@ -1,9 +1,9 @@
-"""What runs next and where, and when results are kept; pure functions.
+"""Decides which sample runs next, on which engine, and when results are written.
 
-A step of a trainer ends when the groups that it waits for are whole, so what counts
-is the time to the last sample of the last such group. A sample that generates long
-decides it: samples start in the order of the latest moment at which they may start,
-which is the Lot's due time less the sample's expected duration.
+All functions are pure. A trainer's step ends when the groups that the trainer waits
+for are whole, so the time until the last sample of the last such group counts. Samples
+that generate for long decide that time. Samples therefore start in the order of their
+latest start, which is the Lot's due time less the sample's expected duration.
 """
 
 from collections.abc import Mapping, Sequence
@@ -16,100 +16,133 @@
 from wigeonfront.targets.views import TargetView
 
 TOKEN_SECONDS = 0.0008
-"""Seconds for each token of a stream on an engine with most places taken."""
+"""Time for each token of a stream on an engine with most of its slots taken."""
 
 UNKNOWN_TOKENS = 1000
-"""Tokens assumed where a trainer gives no estimate."""
+"""Expected tokens of a sample for which the trainer gives no estimate."""
 
 BATCH_SECONDS = 1.0
-"""Time between two batches of results of one Lot before its wanted groups are whole:
-what was generated is lost with its owner until then, and each batch is a write.
+"""Interval between two writes of a Lot's results before its wanted groups are whole.
+
+Results that are not written are lost if their owner is lost, but each batch costs a
+write to the store.
 """
 
 URGENT_BATCH_SECONDS = 0.0
-"""Time until results are kept that make the wanted groups whole: the trainer waits."""
+"""Delay of the write that makes the wanted groups whole: the trainer waits for it."""
 
 SNAPSHOT_EVENTS = 8
-"""Events after which the text of a run in progress is copied for the store: short
-samples end sooner and cost no bytes."""
+"""Events between two snapshots of the text of a run in progress.
+
+Short samples end sooner, so that the store gets no snapshot of them.
+"""
 
 TEXT_SECONDS = 1.0
-"""Time between two writes that hold texts alone: an owner that is lost without notice
-takes with it what was generated since."""
+"""Interval between two writes that hold only snapshots of texts.
+
+If the owner is lost without notice, what was generated since the last write is lost.
+"""
 
 SLOW_FACTOR = 2.0
-"""Multiple of the fastest target's time for an event from which a target counts as
-slow and takes samples only while no other has a place."""
+"""Multiple of the fastest engine's time per event above which an engine counts as slow.
+
+A slow engine gets samples only while no other engine has a free slot.
+"""
 
 MOVE_FACTOR = 2.0
-"""Multiple of the other engines' time for an event from which a run is moved off an
-engine: the rest of the run then takes less than half as long elsewhere."""
+"""Multiple of the other engines' time per event above which a run is moved.
 
-LEAST_GAIN_SECONDS = 0.5
-"""Time that a run must save to go on at a quicker engine with a free place."""
+The rest of the run then takes less than half as long on another engine.
+"""
+
+MIN_GAIN_SECONDS = 0.5
+"""Time that a move to a faster engine with a free slot must save at least."""
 
 QUICKER_FACTOR = 1.15
-"""Multiple of another engine's time for an event from which it counts as quicker:
-between the noise of six events and the difference of engines."""
+"""Multiple of another engine's time per event from which that engine counts as faster.
+
+The value lies between the noise of a pace over six events and the difference in speed
+between engines.
+"""
 
 FIRST_EVENT_SECONDS = 1.0
-"""Wait for the first event of a run on an engine with a free place, which begins far
-sooner; an engine may take a sample and never begin it."""
+"""Timeout for the first event of a run on an engine with a free slot.
 
-MOST_FIRST_EVENT_SECONDS = 3.0
-"""Wait for the first event on a full engine, where a run waits for a place, and the
-longest wait to which those for one sample double: where all are slow, leaving them
-would only cost places in their queues."""
+Such an engine usually begins far sooner, but it may accept a sample and never begin
+it.
+"""
+
+MAX_FIRST_EVENT_SECONDS = 3.0
+"""Timeout for the first event on a full engine, where a run waits for a slot.
 
-CROWDING = 0.25
-"""Share by which an event takes longer on an engine with all places taken."""
+It also limits the timeouts of one sample, which double with each silent run: where all
+engines are slow, a run that leaves an engine only loses its position in the queue.
+"""
 
-QUEUEING = 1.0
-"""Share by which an event takes longer for each sample that waits at a full engine, as
-a share of its places: it waits until as many have ended."""
+FULL_ENGINE_SLOWDOWN = 0.25
+"""Share by which an event takes longer on an engine with all slots taken."""
+
+QUEUE_SLOWDOWN = 1.0
+"""Share by which an event takes longer on a full engine at which others wait.
+
+The share is multiplied by the number of waiting samples divided by the engine's slots:
+one more sample waits until as many others have ended.
+"""
 
 PACE_EVENTS = 6
-"""Events over which the pace of a run is taken: a fifth of a second on a quick engine,
-so that one late event does not count as slowness."""
+"""Events over which the pace of a run is measured.
 
-LEAST_MOVE_SECONDS = 0.5
-"""Rest of a run, at its present pace, from which a move is worth it."""
+They take a fifth of a second on a fast engine, which is long enough that one late event
+does not make the run look slow.
+"""
 
-MOST_MOVES = 3
-"""Moves of one sample, after which it stays where it is."""
+MIN_MOVE_SECONDS = 0.5
+"""Remaining time of a run, at its present pace, below which it is not moved."""
+
+MAX_MOVES = 3
+"""Limit of the moves of one sample; after these it stays on its engine."""
 
 URGENT_TOKENS = (2000, 1000, 500)
-"""Estimates from which a sample gets priority 2, 3 and 4 at engines, the rest 5: the
-long ones decide when a step ends, and an engine that is full starts them first."""
+"""Expected tokens from which a sample gets priority 2, 3 and 4 at engines.
+
+All other samples get priority 5. Long samples decide when a step ends, and a full
+engine starts the samples with the lowest number first.
+"""
 
 FIRST_PRIORITY = 2
+"""Priority at engines of the samples with the most expected tokens."""
 
 GROUP_BONUS = 2
-"""Places by which a target may be fuller than another and still get a sample whose
-group it has: the shared prompt is then read once."""
+"""Slots by which an engine that runs a sample's group may be fuller than another one.
+
+The engine that already runs the group processes the shared prompt only once.
+"""
 
 NO_RANKS: Mapping[GroupKey, GroupRank] = MappingProxyType({})
 UNRANKED = GroupRank()
 
 QUEUE_SHARE = 0.0
-"""Samples sent beyond the places of an engine, as a share of these: none, so that a
-place that falls free goes to the sample that needs it most, wherever that is."""
+"""Samples sent to an engine beyond its slots, as a share of its slots.
+
+No sample is sent beyond them, so that a slot that becomes free goes to the most urgent
+sample of all.
+"""
 
 
 @dataclass(frozen=True, slots=True)
-class Needs:
-    """What a sample asks of an engine's weights.
+class WeightNeeds:
+    """The requirements of a sample on the weights of its engine.
 
     Attributes
     ----------
     model : str
     min_version : int
-        Engines known to hold older weights are left out.
+        Engines that are known to hold older weights are left out.
     single_version : bool
-        It must come from one version: an engine that is about to change its weights
-        would have to wait for it, or break it off.
+        The whole sample must come from one version. An engine that is about to load
+        other weights is left out, as it would have to wait for the sample or end it.
     text_version : int
-        The version that it must go on from; 0 if any will do.
+        The version with which the text must be continued; 0 if any version will do.
     """
 
     model: str
@@ -117,8 +150,8 @@
     single_version: bool = False
     text_version: int = 0
 
-    def fit(self, view: TargetView) -> bool:
-        """Tell whether the weights of an engine fit, as far as they are known."""
+    def met_by(self, view: TargetView) -> bool:
+        """Return whether the weights of an engine fit, as far as they are known."""
         version = view.versions.get(self.model)
         if self.text_version:
             return version == self.text_version
@@ -128,34 +161,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
-    """A sample that waits, with its Lot."""
+class OpenSample:
+    """A sample without a result, with the progress of its Lot."""
 
     progress: LotProgress
     state: SampleState
 
     @property
-    def needs(self) -> "Needs":
-        """What it asks of an engine's weights."""
+    def needs(self) -> "WeightNeeds":
+        """The requirements of the sample on the weights of its engine."""
         lot = self.progress.lot
-        bound = self.state.text_version if lot.single_version else 0
-        return Needs(
-            self.state.sample.model, lot.min_version, lot.single_version, bound
+        text_version = self.state.text_version if lot.single_version else 0
+        return WeightNeeds(
+            self.state.sample.model, lot.min_version, lot.single_version, text_version
         )
 
     @property
     def group_key(self) -> GroupKey:
-        """The key of its group."""
+        """The key of the sample's group."""
         return group_key(self.progress, self.state.sample)
 
     @property
     def latest_start(self) -> float:
-        """Monotonic time at which it must start to end in time."""
+        """Monotonic time at which the sample must start in order to end in time."""
         return self.progress.due_at - expected_seconds(self.state)
 
 
 def expected_seconds(state: SampleState) -> float:
-    """Return how long the rest of a sample should take, in seconds."""
+    """Return the seconds that a whole sample is expected to take."""
     tokens = state.sample.expected_tokens or UNKNOWN_TOKENS
     return tokens * TOKEN_SECONDS
 
@@ -164,34 +197,39 @@
     lots: Sequence[LotProgress],
     now: float,
     ranks: Mapping[GroupKey, GroupRank] = NO_RANKS,
-) -> list[Waiting]:
+) -> list[OpenSample]:
     """Return the samples that may be sent, the most urgent first.
 
     Parameters
     ----------
+    lots : sequence of LotProgress
     now : float
         Monotonic time.
-    ranks : mapping
-        Order of groups that goes first, where there is one.
+    ranks : mapping of GroupKey to GroupRank, optional
+        Ranks of groups, which take precedence over the latest start.
     """
     waiting = [
-        Waiting(progress, state)
+        OpenSample(progress, state)
         for progress in lots
         if not progress.ended
         for state in progress.open.values()
         if state.wants_run and state.not_before <= now
     ]
-    waiting.sort(key=lambda one: (ranks.get(one.group_key, UNRANKED), one.latest_start))
+    waiting.sort(
+        key=lambda sample: (ranks.get(sample.group_key, UNRANKED), sample.latest_start)
+    )
     return waiting
 
 
 def usable_engines(
-    views: Sequence[TargetView], needs: Needs, now: float
+    views: Sequence[TargetView], needs: WeightNeeds, now: float
 ) -> list[TargetView]:
-    """Return the engines that take samples with such needs.
+    """Return the engines that take samples with the given requirements.
 
     Parameters
     ----------
+    views : sequence of TargetView
+    needs : WeightNeeds
     now : float
         Monotonic time.
     """
@@ -201,47 +239,51 @@
         if not view.draining
         and view.available
         and view.refused_until.get(needs.model, 0.0) <= now
-        and needs.fit(view)
+        and needs.met_by(view)
     ]
 
 
 def event_seconds(view: TargetView, typical: float, bonus: int = 0) -> float:
-    """Return the seconds that an event of one more sample should take at an engine.
+    """Return the expected seconds per event of one more sample on an engine.
 
     Parameters
     ----------
+    view : TargetView
     typical : float
-        Seconds for an event at an engine of which nothing is known.
+        Seconds per event on an engine whose pace is unknown.
     bonus : int
-        Places that count as free though they are taken.
+        Slots that count as free though they are taken.
     """
     crowded = (view.load - bonus) / max(1, view.target.slots)
     queued = max(0.0, crowded - 1)
-    return (view.latency or typical) * (1 + CROWDING * crowded + QUEUEING * queued)
+    return (view.latency or typical) * (
+        1 + FULL_ENGINE_SLOWDOWN * crowded + QUEUE_SLOWDOWN * queued
+    )
 
 
 def choose_engine(
     views: Sequence[TargetView],
-    needs: Needs,
+    needs: WeightNeeds,
     group_targets: frozenset[str],
     avoid: str,
     now: float,
     shared: bool = False,
 ) -> TargetView | None:
-    """Return the engine that should run a sample fastest, or ``None`` if none has room.
+    """Return the engine that should run a sample fastest, or ``None`` if all are full.
 
     Parameters
     ----------
     views : sequence of TargetView
-    needs : Needs
+    needs : WeightNeeds
     group_targets : frozenset of str
-        Engines that have samples of the same group.
+        Ids of the engines that run samples of the same group.
     avoid : str
-        Engine that broke off the sample's last run; used only if it is the last.
+        Id of the engine on which the sample's last run broke; that engine is chosen
+        only if no other one is usable.
     now : float
         Monotonic time.
     shared : bool
-        Places are short, and other owners get their share of them.
+        Slots are short, and other owners get their share of them.
     """
     usable = usable_engines(views, needs, now)
     healthy = [view for view in usable if view.target.id != avoid] or usable
@@ -271,24 +313,24 @@
     token_seconds: float,
     moves: int,
 ) -> bool:
-    """Tell whether a run should go on at another engine.
+    """Return whether a run should be continued on another engine.
 
     Parameters
     ----------
     others : sequence of TargetView
-        The other engines that take such samples.
+        The other engines that could run the sample.
     pace : float
-        Seconds for each of the run's last events.
+        Seconds per event over the run's last events.
     tokens_left : float
-        Tokens that the run still has to generate, as expected.
+        Tokens that the run is still expected to generate.
     token_seconds : float
-        Seconds for each token at that pace.
+        Seconds per token at that pace.
     moves : int
-        Times that it was moved.
+        How often the sample was moved already.
     """
     seconds_left = tokens_left * token_seconds
     known = [view for view in others if view.latency > 0]
-    if moves >= MOST_MOVES or seconds_left < LEAST_MOVE_SECONDS or not known:
+    if moves >= MAX_MOVES or seconds_left < MIN_MOVE_SECONDS or not known:
         return False
     typical = median(view.latency for view in known)
     if pace > MOVE_FACTOR * typical:
@@ -296,56 +338,58 @@
     free = [view for view in known if view.load < view.target.slots]
     quickest = min((event_seconds(view, typical) for view in free), default=pace)
     saved = seconds_left * (1 - quickest / pace)
-    return pace >= QUICKER_FACTOR * quickest and saved >= LEAST_GAIN_SECONDS
+    return pace >= QUICKER_FACTOR * quickest and saved >= MIN_GAIN_SECONDS
 
 
 def first_event_wait(view: TargetView, silent_runs: int) -> float:
-    """Return the seconds for which a run's first event is waited for.
+    """Return the timeout in seconds for a run's first event.
 
     Parameters
     ----------
     view : TargetView
         The engine as it was when the run was sent there.
     silent_runs : int
-        Runs of the sample that ended so before.
+        Earlier runs of the sample that ended because no event came in time.
     """
     if view.load >= view.target.slots:
-        return MOST_FIRST_EVENT_SECONDS
-    return min(FIRST_EVENT_SECONDS * 2**silent_runs, MOST_FIRST_EVENT_SECONDS)
+        return MAX_FIRST_EVENT_SECONDS
+    return min(FIRST_EVENT_SECONDS * 2**silent_runs, MAX_FIRST_EVENT_SECONDS)
 
 
 def engine_priority(expected_tokens: int) -> int:
     """Return the priority of a sample at its engine, where 0 is the most urgent."""
-    for step, least in enumerate(URGENT_TOKENS):
-        if expected_tokens >= least:
+    for step, min_tokens in enumerate(URGENT_TOKENS):
+        if expected_tokens >= min_tokens:
             return FIRST_PRIORITY + step
     return FIRST_PRIORITY + len(URGENT_TOKENS)
 
 
 def has_room(view: TargetView) -> bool:
-    """Tell whether the engine gets one more sample.
+    """Return whether the engine gets one more sample.
 
-    Own samples alone count: what others have there is known late, and a place that
-    falls free would wait for the next round. What is too much waits at the engine.
+    Only the samples of this owner count. The samples of other owners are known with a
+    delay, so that a slot that becomes free would stay unused until the next exchange
+    of loads. Samples beyond the engine's slots wait at the engine.
     """
     return view.free + int(QUEUE_SHARE * view.target.slots) > 0
 
 
 def has_shared_room(view: TargetView) -> bool:
-    """Tell whether the engine gets one more sample while places are short.
+    """Return whether the engine gets one more sample while slots are short.
 
-    What would wait there is better kept here, where its order can still change; half
-    of the places are this owner's though others take them all.
+    A sample that would wait at the engine is kept here, where its rank can still
+    change. This owner may use half of the slots even if other owners take them all.
     """
     own_share = max(1, view.target.slots // 2)
     return view.load < view.target.slots or view.in_flight < own_share
 
 
 def batch_due(progress: LotProgress, now: float) -> bool:
-    """Tell whether the Lot's results should be kept now.
+    """Return whether the Lot's results should be written now.
 
     Parameters
     ----------
+    progress : LotProgress
     now : float
         Monotonic time.
     """
@@ -360,10 +404,11 @@
 
 
 def texts_due(progress: LotProgress, now: float) -> bool:
-    """Tell whether texts of runs in progress should be kept now, without a batch.
+    """Return whether snapshots of texts should be written now, without results.
 
     Parameters
     ----------
+    progress : LotProgress
     now : float
         Monotonic time.
     """
--- a/src/wigeonfront/rollout/scoring.py
+++ b/src/wigeonfront/rollout/scoring.py
@@ -1,4 +1,4 @@
-"""Gets the scores of owned Lots' samples whose texts are whole."""
+"""Gets the scores of samples of owned Lots whose texts are whole."""
 
 import logging
 import threading
@@ -26,7 +26,7 @@
     DueCall,
     choose_call_target,
     due_calls,
-    most_wait,
+    max_wait,
     pause_after,
     slow_after,
 )
@@ -36,23 +36,28 @@
 logger = logging.getLogger(__name__)
 
 IDLE_WAIT_SECONDS = 0.5
-"""Longest sleep of the sending thread; a text that ends wakes it."""
+"""Longest sleep of the sending thread; the end of a text wakes it."""
 
-PLACE_WAIT_SECONDS = 0.05
-"""Pause of the sending thread while calls wait for a place or for their time."""
+SLOT_WAIT_SECONDS = 0.05
+"""Pause of the sending thread while calls wait for a slot or for their retry."""
 
-LEAST_CALL_SECONDS = 1.0
-"""Time that a reward call gets though its sample may be given up sooner."""
+MIN_CALL_SECONDS = 1.0
+"""Minimum time limit of a reward call, even if its sample may be given up sooner."""
 
 NO_ROUTE_PAUSE_SECONDS = 0.5
-"""Pause of a call whose host and path no route serves now: a quarter of the time in
-which a change of the configuration is in force."""
+"""Pause before a call is retried whose host and path no route serves now.
 
-UNFRAMED_TRUSTED = 2
-"""Answers that do not tell their own end from which on one is believed: a service may
-answer so always, and a single one may have been broken off."""
+It is a quarter of the time until a change of the configuration is in force.
+"""
 
-Finish = Callable[[LotProgress, SampleResult, str], None]
+TRUSTED_UNFRAMED_ANSWERS = 2
+"""Number of answers without framing from which on such an answer is trusted.
+
+A service may always answer without a length or chunks, but a single such answer may
+have been cut off.
+"""
+
+FinishSample = Callable[[LotProgress, SampleResult, str], None]
 
 
 @dataclass(slots=True)
@@ -81,14 +86,16 @@
     caller : RewardCaller
     table : TargetTable
     lots : callable
-        Returns the owned Lots; called with the lock of `changed` held.
+        Returns the owned Lots; called while the lock of `changed` is held.
     finish : callable
-        Takes a sample's result, with the reason; called with the lock held.
+        Takes a Lot's progress, a sample's result and the reason for the log; called
+        while the lock is held.
     changed : threading.Condition
         Guards the progress of Lots, and is notified when a text has ended.
     configuration : callable
         Returns the configuration in force, or ``None``.
     failure_domain : str
+        Failure domain of this process.
     random : random.Random
         Draws the service of a split route.
     clock : Clock
@@ -100,7 +107,7 @@
         caller: RewardCaller,
         table: TargetTable,
         lots: Callable[[], list[LotProgress]],
-        finish: Finish,
+        finish: FinishSample,
         changed: threading.Condition,
         configuration: Callable[[], Configuration | None],
         failure_domain: str,
@@ -134,27 +141,27 @@
         )
 
     def run(self, stop: threading.Event) -> None:
-        """Send calls while there is room (a supervisor's task)."""
+        """Send due calls while slots are free (run as a supervised task)."""
         while not stop.is_set():
             with self._changed:
                 waiting = self._send_due()
-                self._changed.wait(PLACE_WAIT_SECONDS if waiting else IDLE_WAIT_SECONDS)
+                self._changed.wait(SLOT_WAIT_SECONDS if waiting else IDLE_WAIT_SECONDS)
 
     def wake(self) -> None:
-        """Look at once whether a call can be sent."""
+        """Check at once whether a call can be sent."""
         with self._changed:
             self._changed.notify_all()
 
-    def drop(self, progress: LotProgress) -> int:
-        """End the calls of a Lot that was given up; return how many there were."""
+    def cancel_calls(self, progress: LotProgress) -> int:
+        """Cancel the calls of a stopped Lot, and return how many there were."""
         with self._changed:
-            calls = [one for one in self._calls if one.due.progress is progress]
+            calls = [call for call in self._calls if call.due.progress is progress]
         for call in calls:
             call.handle.cancel()
         return len(calls)
 
     def _send_due(self) -> bool:
-        """Send what may be sent; return whether a call waits."""
+        """Send the due calls, and return whether texts still wait for a score."""
         configuration = self._configuration()
         if configuration is None:
             return False
@@ -168,7 +175,8 @@
                 continue
             view = self._choose(due.state, service)
             if view is None:
-                # A second send may only lack a target other than the first one's.
+                # For a second send the service need not be full: there may only be no
+                # target other than that of the first send.
                 if not due.state.call.sends:
                     full.add(service)
                 continue
@@ -201,14 +209,14 @@
         return None
 
     def _choose(self, state: SampleState, service: str) -> TargetView | None:
-        own = Counter(one.target_id for one in self._calls)
-        asked = {one.target_id for one in self._calls if one.due.state is state}
+        own_calls = Counter(call.target_id for call in self._calls)
+        asked = {call.target_id for call in self._calls if call.due.state is state}
         others = [
             view for view in self._table.views(service) if view.target.id not in asked
         ]
         return choose_call_target(
             others,
-            own,
+            own_calls,
             state.call.tried,
             self._failure_domain,
             self._clock.monotonic() - state.call.due_since,
@@ -239,8 +247,8 @@
 
     def _run(self, call: _Call) -> None:
         started = self._clock.monotonic()
-        left = max(LEAST_CALL_SECONDS, call.due.progress.gives_up_at - started)
-        wait = most_wait(
+        left = max(MIN_CALL_SECONDS, call.due.progress.gives_up_at - started)
+        wait = max_wait(
             call.view.latency, call.due.state.call.tries, min(call.route.timeout, left)
         )
         outcome: CallOutcome = CallBroken("crashed")
@@ -278,17 +286,17 @@
             self._changed.notify_all()
 
     def _settle(self, call: _Call, outcome: CallOutcome) -> None:
-        """Decide what becomes of the sample after a send."""
+        """Finish the sample, give it up or schedule a retry after a send."""
         progress, state = call.due.progress, call.due.state
         if isinstance(outcome, CallCancelled):
             return
         if isinstance(outcome, Scored):
             state.call.unframed += not outcome.framed
-            if outcome.framed or state.call.unframed >= UNFRAMED_TRUSTED:
+            if outcome.framed or state.call.unframed >= TRUSTED_UNFRAMED_ANSWERS:
                 waited = self._clock.monotonic() - state.call.due_since
                 self._score_seconds.observe(waited)
                 self._finish(progress, completed(state, outcome.score), "scored")
-                self._end_others(state)
+                self._cancel_other_sends(state)
                 return
         state.call.tries += 1
         state.call.tried |= {call.target_id}
@@ -297,16 +305,17 @@
         if not isinstance(outcome, CallFailed):
             return
         state.call.failures += 1
-        # The platform does not say whose bound counts: past both, it is kept.
+        # The platform does not define whether the limit of the route or of the Lot
+        # applies, so that the sample is given up only past both.
         if state.call.failures >= max(
             call.route.max_attempts, progress.lot.max_attempts
         ):
             result = SampleResult(state.sample.id, completed=False)
             self._finish(progress, result, "failed reward calls")
-            self._end_others(state)
+            self._cancel_other_sends(state)
 
-    def _end_others(self, state: SampleState) -> None:
-        """End the other send of a sample that has its result."""
+    def _cancel_other_sends(self, state: SampleState) -> None:
+        """Cancel the other send of a sample that has its result."""
         for call in self._calls:
             if call.due.state is state:
                 call.handle.cancel()
@@ -325,5 +334,5 @@
 
 def _reward_call(state: SampleState) -> RewardCall:
     if state.sample.reward_call is None:
-        raise AssertionError("a text waits for a score though its sample has no call")
+        raise AssertionError("the sample of a text without a score has no reward call")
     return state.sample.reward_call
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -1,4 +1,4 @@
-"""Two owners of Lots that start at the same moment, over real connections."""
+"""Two owners exchange engine loads over real connections as their Lots start."""
 
 import random
 
@@ -8,7 +8,7 @@
 from rows_fakes import free_address
 from wigeonfront.clock import ManualClock
 from wigeonfront.rollout.engine_loads import LoadFollower, LoadServer
-from wigeonfront.rollout.scheduling import Needs, choose_engine
+from wigeonfront.rollout.scheduling import WeightNeeds, choose_engine
 from wigeonfront.targets.table import TargetTable
 from wigeonfront.targets.target import Target
 
@@ -18,7 +18,7 @@
 
 
 class Owner:
-    """An entry's table, its server of loads and its follower of the other's."""
+    """A target table with the server and the follower of engine loads of one entry."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -39,11 +39,11 @@
         self.follower.ask(self.follower._owners())
 
     def send(self, count):
-        """Send up to `count` samples as the runner does; return how many waited."""
+        """Send up to `count` samples like the runner; return how many found no slot."""
         for sent in range(count):
             views = self.table.views("s")
             now = self.clock.monotonic()
-            view = choose_engine(views, Needs(MODEL, 1), frozenset(), "", now)
+            view = choose_engine(views, WeightNeeds(MODEL, 1), frozenset(), "", now)
             if view is None:
                 return count - sent
             self.table.started(view.target.id, MODEL)
@@ -66,10 +66,10 @@
     return [sum(owner.sent[id] for owner in owners) for id in ENGINES]
 
 
-def test_lots_that_start_together_share_the_places(owners):
-    """Two Lots of 30 samples on 48 places, one engine a quarter faster.
+def test_lots_that_start_together_share_the_slots(owners):
+    """Two Lots of 30 samples run on 48 slots, and one engine is a quarter faster.
 
-    With own runs alone that engine had 24 of the 60 on its 12 places.
+    Owners that count only their own runs put 24 of the 60 samples on its 12 slots.
     """
     for owner in owners:
         owner.table.paced("a", 0.033)
@@ -81,9 +81,9 @@
     assert max(totals(owners)) <= 18
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_no_sample_waits_for_what_others_tell(owners, told):
-    if told:
+@pytest.mark.parametrize("answered", [True, False])
+def test_samples_are_sent_without_waiting_for_answers_of_others(owners, answered):
+    if answered:
         owners[0].ask()
     else:
         owners[1].server.stop()
@@ -92,7 +92,7 @@
     assert totals(owners) == [SLOTS] * len(ENGINES)
 
 
-def test_a_later_lot_goes_where_the_other_has_none(owners):
+def test_a_later_lot_uses_the_engines_that_the_other_owner_left_free(owners):
     for id in ("a", "b"):
         for _ in range(SLOTS):
             owners[0].table.started(id, MODEL)
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -1,4 +1,4 @@
-"""Decisions of `LotRunner` about samples, with scripted runs."""
+"""Tests the decisions of `LotRunner` about samples, with scripted runs."""
 
 import random
 import threading
@@ -20,7 +20,6 @@
 from wigeonfront.rollout.events import StreamEvent, Text
 from wigeonfront.rollout.inheritance import Inheritance
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
-from wigeonfront.rollout.scheduling import Waiting
 from wigeonfront.rollout.placement import SamplePlacer
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.repository import Kept
@@ -31,7 +30,8 @@
     RunSilent,
     RunTooOld,
 )
-from wigeonfront.rollout.runner import LEAST_RUN_SECONDS, LotRunner
+from wigeonfront.rollout.runner import MIN_RUN_SECONDS, LotRunner
+from wigeonfront.rollout.scheduling import OpenSample
 from wigeonfront.spool import SpoolClient
 from wigeonfront.targets.table import PROBE_SECONDS, TargetTable
 from wigeonfront.targets.target import Target
@@ -53,7 +53,7 @@
 
 
 class ScriptedRuns:
-    """Runs that each add events of one version and end as told."""
+    """Runs that each add events of one version and end with a given outcome."""
 
     def __init__(self, *steps):
         self.steps = list(steps)
@@ -111,10 +111,11 @@
         thread.join()
 
 
-def placed(waited, events, places_taken=2):
-    """Place a sample whose text goes on at version 4 only.
+def placed(waited, events, slots_taken=2):
+    """Place a sample whose text only version 4 can continue.
 
-    Engines take 0.8 ms a token and 1 token an event.
+    Engines take 0.8 ms per token and generate 1 token per event. Return the id of the
+    chosen engine and the number of events that the sample keeps.
     """
     clock = ManualClock(100.0)
     table = TargetTable(clock, random.Random(1))
@@ -122,7 +123,7 @@
         Target(id, "s", f"h:{id}", "z", 2, versions={MODEL: version})
         for id, version in {"old": 4, "new": 5}.items()
     )
-    for _ in range(places_taken):
+    for _ in range(slots_taken):
         table.started("old", MODEL)
     progress = LotProgress(LOT, 1, [])
     state = progress.open["s1"]
@@ -130,14 +131,14 @@
     state.waits_since = clock.monotonic()
     clock.advance(waited)
     placer = SamplePlacer(table, lambda: None, clock)
-    view = placer.place(Waiting(progress, state), "s", frozenset())
+    view = placer.place(OpenSample(progress, state), "s", frozenset())
     return view and view.target.id, state.text.last_id
 
 
-def test_an_engine_that_refused_for_so_long_is_no_better_than_a_full_one():
-    assert placed(0.0, 10, places_taken=0) == ("old", 10)
-    assert placed(0.0081, 10, places_taken=0) == ("old", 0)
-    assert placed(0.0081, 10, places_taken=1) == ("new", 0)
+def test_a_text_is_dropped_after_long_refusals_as_at_a_full_engine():
+    assert placed(0.0, 10, slots_taken=0) == ("old", 10)
+    assert placed(0.0081, 10, slots_taken=0) == ("old", 0)
+    assert placed(0.0081, 10, slots_taken=1) == ("new", 0)
 
 
 @pytest.mark.parametrize(
@@ -149,20 +150,20 @@
         (0.0081, 100, (None, 100)),
     ],
 )
-def test_a_text_is_waited_for_as_long_as_it_takes_to_generate(waited, events, expected):
+def test_a_text_waits_at_most_as_long_as_its_generation_takes(waited, events, expected):
     assert placed(waited, events) == expected
 
 
 @pytest.mark.parametrize(
     ("steps", "versions", "began"),
     [
-        # The engine has changed its weights; another one still goes on.
+        # The engine has loaded other weights; another one can continue the text.
         (
             [(3, 4, RunBroken("x")), (0, 5, RunTooOld(5)), (2, 4, RunCompleted())],
             {"a": 4, "b": 4, "c": 4},
             [0, 3, 3],
         ),
-        # None goes on from that version: the sample begins anew.
+        # No engine has that version any more: the sample is generated again.
         (
             [(3, 4, RunBroken("x")), (0, 5, RunTooOld(5)), (5, 5, RunCompleted())],
             {"a": 4, "b": 5},
@@ -170,7 +171,7 @@
         ),
     ],
 )
-def test_a_text_of_one_version_is_kept_while_an_engine_goes_on(
+def test_a_text_of_one_version_is_kept_while_an_engine_can_continue_it(
     sending, steps, versions, began
 ):
     runs = ScriptedRuns(*steps)
@@ -188,14 +189,14 @@
 @pytest.mark.parametrize(
     ("others", "open"), [(0, True), (2, False)], ids=["free", "full"]
 )
-def test_silence_speaks_against_an_engine_only_if_it_had_a_place(sending, others, open):
+def test_silence_counts_as_failure_only_if_a_slot_was_free(sending, others, open):
     runs = ScriptedRuns(
         (0, 4, RunSilent()), (0, 4, RunSilent()), (2, 4, RunCompleted())
     )
     runner = make_runner(runs, {"a": 4, "b": 4, "c": 4})
     table = runner._table
-    told = [EngineState(id, others, 0.0, 0.0) for id in "abc"]
-    table.learn(OthersEngines(1, told))
+    states = [EngineState(id, others, 0.0, 0.0) for id in "abc"]
+    table.learn(OthersEngines(1, states))
     lot = replace(LOT, single_version=False)
     runner.adopt(lot, 1)
     sending(runner)
@@ -207,8 +208,8 @@
     assert (circuits[failed[0].target.id].consecutive > 0) is open
 
 
-def test_refusals_do_not_begin_the_wait_anew(sending):
-    """The engine with the text's version lets its runs end and refuses."""
+def test_refusals_do_not_restart_the_wait_of_a_text(sending):
+    """The engine with the text's version lets its runs end and refuses new ones."""
     refused = (0, 4, RunRefused("status 503", True))
     runs = ScriptedRuns(
         (5, 4, RunBroken("x")), refused, refused, (5, 5, RunCompleted())
@@ -225,7 +226,7 @@
     assert [after for _, after in runs.began] == [0, 5, 0, 0]
 
 
-def test_a_whole_text_of_weights_that_are_too_old_is_no_result(sending):
+def test_a_whole_text_of_too_old_weights_is_generated_again(sending):
     runs = ScriptedRuns((5, 3, RunCompleted()), (5, 4, RunCompleted()))
     runner = make_runner(runs, {"a": 4, "b": 4})
     runner.adopt(LOT, 1)
@@ -238,30 +239,30 @@
 
 
 class SlowRuns(ScriptedRuns):
-    """Runs that each take some seconds."""
+    """Runs that each take a given time in seconds."""
 
     clock = None
-    takes = ()
+    durations = ()
 
-    def run(self, *asked):
-        outcome = super().run(*asked)
-        self.clock.advance(self.takes[len(self.began) - 1])
+    def run(self, *arguments):
+        outcome = super().run(*arguments)
+        self.clock.advance(self.durations[len(self.began) - 1])
         return outcome
 
 
-def test_a_run_gets_the_time_that_its_sample_has_left(sending):
+def test_a_run_gets_the_remaining_time_of_its_sample(sending):
     broken = (1, 4, RunBroken("x"))
     runs = SlowRuns(broken, broken, (1, 4, RunCompleted()))
     runner = make_runner(runs, {"a": 4, "b": 4, "c": 4})
-    runs.clock, runs.takes = runner._clock, (60.0, 39.8, 0.1)
+    runs.clock, runs.durations = runner._clock, (60.0, 39.8, 0.1)
     runner.adopt(LOT, 1)
     sending(runner)
     wait_for(lambda: len(runs.began) == 3)
-    assert runs.seconds == pytest.approx([100.0, 40.0, LEAST_RUN_SECONDS])
+    assert runs.seconds == pytest.approx([100.0, 40.0, MIN_RUN_SECONDS])
 
 
-class KeptAt:
-    """A repository that notes what it is asked to keep."""
+class RecordingRepository:
+    """A repository that records the batches that it is given."""
 
     def __init__(self):
         self.batches = []
@@ -271,11 +272,11 @@
         return Kept(head_revision)
 
 
-def test_results_that_a_disk_had_are_kept_as_soon_as_a_lot_is_adopted(monkeypatch):
-    """Until then they can't be shown, though the last owner has shown them."""
+def test_results_from_a_disk_are_written_as_soon_as_a_lot_is_adopted(monkeypatch):
+    """Until then they can't be shown, although the last owner has shown them."""
     monkeypatch.setattr(keeping, "IDLE_WAIT_SECONDS", 60.0)
     runner = make_runner(ScriptedRuns(), {"a": 1})
-    repository = runner.keeper._repository = KeptAt()
+    repository = runner.keeper._repository = RecordingRepository()
     stop = threading.Event()
     thread = threading.Thread(target=runner.keeper.run, args=(stop,), daemon=True)
     thread.start()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,17 +1,19 @@
-"""Plays trainers whose Lots need more places than there are, and checks what they get.
-
-Two trainers ask for a step each four seconds, two steps ahead; a group counts if it
-is whole within 8 s. Runs are not ended for others. Share of the wanted groups in time,
-mean of four days, with the groups in their order and with the longest samples first:
-
-======  ===============  =====  =====
-places  of what is asked  order  long first
-======  ===============  =====  =====
-30      0.41             0.44   0.00
-42      0.58             0.51   0.06
-54      0.74             0.68   0.40
-66      0.91             0.98   0.97
-======  ===============  =====  =====
+"""Simulates trainers whose Lots need more slots than there are.
+
+Two trainers ask for a step every four seconds, two steps ahead. A group counts if it is
+whole within 8 s. Runs are not ended in favour of others. The table gives the share of
+the wanted groups in time, as the mean of four simulated days, with ranked groups and
+with the longest samples first. Its second column gives the slots as a share of what the
+Lots need.
+
+======  ========  ======  ==========
+slots   capacity  ranked  long first
+======  ========  ======  ==========
+30      0.41      0.44    0.00
+42      0.58      0.51    0.06
+54      0.74      0.68    0.40
+66      0.91      0.98    0.97
+======  ========  ======  ==========
 """
 
 import heapq
@@ -23,15 +25,19 @@
 import pytest
 
 from wigeonfront.rollout.lot import Lot, Sample
-from wigeonfront.rollout.scheduling import TOKEN_SECONDS, expected_seconds, waiting_samples
 from wigeonfront.rollout.overload import (
     GroupRank,
     WorkEstimate,
-    places_for,
+    available_slots,
     ranks_in_overload,
     seconds_left,
 )
 from wigeonfront.rollout.progress import LotProgress, LotTimes
+from wigeonfront.rollout.scheduling import (
+    TOKEN_SECONDS,
+    expected_seconds,
+    waiting_samples,
+)
 from wigeonfront.targets.target import Target
 from wigeonfront.targets.views import TargetView
 
@@ -43,18 +49,18 @@
 GIVEN_UP_SECONDS = 12.0
 SEEDS = range(4)
 TRAINERS = (("a", 12, 8, 11), ("b", 7, 16, 7))
-"""Name, groups, samples of a group, and groups that the trainer waits for."""
+"""Name, groups, samples per group, and groups that the trainer waits for."""
 
 
 @dataclass
 class Step:
     trainer: tuple
     number: int
-    asked: float
+    asked_at: float
     progress: LotProgress
     tokens: dict[str, float]
     ended: bool = False
-    began: dict[str, float] = field(default_factory=dict)
+    began_at: dict[str, float] = field(default_factory=dict)
 
 
 def draw_step(rng, trainer, number, now):
@@ -81,12 +87,12 @@
 
 
 class Day:
-    """Trainers, their steps, and a number of places."""
+    """A simulated day: trainers, their steps, and a number of slots."""
 
-    def __init__(self, seed, places, ordered):
+    def __init__(self, seed, slots, ranked):
         self.rng = random.Random(seed)
-        self.places = self.free = places
-        self.ordered = ordered
+        self.slots = self.free = slots
+        self.ranked = ranked
         self.now = 0.0
         self.steps = {}
         self.step_of = {}
@@ -100,13 +106,13 @@
     def play(self):
         """Return the share of the wanted groups that were whole in time."""
         while self._events:
-            self.now, _, what, arguments = heapq.heappop(self._events)
-            what(*arguments)
+            self.now, _, action, arguments = heapq.heappop(self._events)
+            action(*arguments)
             self._send()
         return self.in_time / (STEPS * sum(trainer[3] for trainer in TRAINERS))
 
-    def _at(self, moment, what, *arguments):
-        heapq.heappush(self._events, (moment, next(self._count), what, arguments))
+    def _at(self, moment, action, *arguments):
+        heapq.heappush(self._events, (moment, next(self._count), action, arguments))
 
     def _ask(self, trainer, number):
         if self.now <= DAY_SECONDS and number < STEPS:
@@ -130,22 +136,25 @@
         self.free += 1
         whole = progress.whole_groups
         progress._close(id)
-        if progress.whole_groups > whole and self.now <= step.asked + IN_TIME_SECONDS:
+        if (
+            progress.whole_groups > whole
+            and self.now <= step.asked_at + IN_TIME_SECONDS
+        ):
             self.in_time += whole < progress.wanted_groups
         if progress.whole_groups >= progress.wanted_groups:
             self._end_step(step)
 
     def _seconds(self, state):
         step = self.step_of[state.sample.id]
-        began = step.began.get(state.sample.id, self.now)
+        began = step.began_at.get(state.sample.id, self.now)
         return seconds_left(expected_seconds(state), self.now - began)
 
     def _send(self):
         open_steps = [step for step in self.steps.values() if not step.ended]
         lots = [step.progress for step in open_steps]
         ranks = {}
-        if self.ordered and self.free:
-            ranks = ranks_in_overload(lots, self.places, self.now, self._seconds)
+        if self.ranked and self.free:
+            ranks = ranks_in_overload(lots, self.slots, self.now, self._seconds)
         by_lot = {step.progress.lot.id: step for step in open_steps}
         for waiting in waiting_samples(lots, self.now, ranks):
             if not self.free:
@@ -153,26 +162,26 @@
             step = by_lot[waiting.progress.lot.id]
             id = waiting.state.sample.id
             waiting.state.running = True
-            step.began[id] = self.now
+            step.began_at[id] = self.now
             self.free -= 1
             seconds = step.tokens[id] * TOKEN_SECONDS
             self._at(self.now + seconds, self._end_run, step, id)
 
 
-def share_in_time(places, ordered):
-    return mean(Day(seed, places, ordered).play() for seed in SEEDS)
+def share_in_time(slots, ranked):
+    return mean(Day(seed, slots, ranked).play() for seed in SEEDS)
 
 
-@pytest.mark.parametrize(("places", "least"), [(30, 0.3), (42, 0.4), (54, 0.5)])
-def test_whole_groups_come_in_time_though_places_are_short(places, least):
-    ordered = share_in_time(places, ordered=True)
-    assert ordered >= least
-    assert ordered >= 1.5 * share_in_time(places, ordered=False)
+@pytest.mark.parametrize(("slots", "min_share"), [(30, 0.3), (42, 0.4), (54, 0.5)])
+def test_ranked_groups_are_whole_in_time_though_slots_are_short(slots, min_share):
+    ranked = share_in_time(slots, ranked=True)
+    assert ranked >= min_share
+    assert ranked >= 1.5 * share_in_time(slots, ranked=False)
 
 
-@pytest.mark.parametrize("places", [66, 90])
-def test_the_order_costs_nothing_where_places_suffice(places):
-    assert share_in_time(places, True) >= share_in_time(places, False) - 0.02
+@pytest.mark.parametrize("slots", [66, 90])
+def test_ranks_cost_nothing_where_slots_suffice(slots):
+    assert share_in_time(slots, True) >= share_in_time(slots, False) - 0.02
 
 
 def lot_of(groups, due=7.5, wanted=0):
@@ -186,23 +195,23 @@
 
 
 @pytest.mark.parametrize(
-    ("groups", "wanted", "places", "fits"),
+    ("groups", "wanted", "slots", "fits"),
     [
         ({"a": 5, "b": 5}, 2, 2, True),
         ({"a": 5, "b": 5}, 2, 1, False),
-        # What the trainer does not wait for need not fit.
+        # Groups that the trainer does not wait for need not be whole in time.
         ({"a": 5, "b": 5}, 1, 1, True),
         ({"a": 5, "b": 5}, 2, 0, False),
     ],
 )
-def test_groups_are_ordered_only_where_the_wanted_ones_do_not_fit(
-    groups, wanted, places, fits
+def test_groups_are_ranked_only_if_the_wanted_ones_cannot_be_whole_in_time(
+    groups, wanted, slots, fits
 ):
     lots = [lot_of(groups, wanted=wanted)]
-    assert (not ranks_in_overload(lots, places, 0.0, lambda state: 1.0)) is fits
+    assert (not ranks_in_overload(lots, slots, 0.0, lambda state: 1.0)) is fits
 
 
-def test_begun_groups_come_first_then_those_that_need_least_and_late_ones_last():
+def test_begun_groups_go_first_then_the_shortest_and_late_ones_last():
     progress = lot_of({"big": 9, "begun": 6, "small": 2, "late": 1})
     progress.open["begun-0"].running = True
     seconds = {"late-0": 8.0}
@@ -213,7 +222,9 @@
     assert [group for _, group in order] == ["begun", "small", "big", "late"]
     assert GroupRank() <= min(ranks.values())
     waiting = waiting_samples([progress], 0.0, ranks)
-    assert [one.state.sample.group for one in waiting[:6]] == ["begun"] * 5 + ["small"]
+    assert [sample.state.sample.group for sample in waiting[:6]] == ["begun"] * 5 + [
+        "small"
+    ]
 
 
 def view(own, others, slots=6, available=True, draining=False):
@@ -222,21 +233,21 @@
 
 
 @pytest.mark.parametrize(
-    ("views", "places"),
+    ("views", "slots"),
     [
         ([view(0, 0), view(0, 0)], 12),
         ([view(0, 5), view(0, 6)], 1),
-        # Others have sent more than there is room for: half of them may be ours.
+        # Others have sent more than there are slots: this process gets its share.
         ([view(6, 6), view(6, 6)], 6),
         ([view(2, 1), view(6, 0, available=False), view(0, 0, draining=True)], 5),
         ([], 0),
     ],
 )
-def test_places_are_those_that_others_leave_or_a_fair_share(views, places):
-    assert places_for(views) == places
+def test_available_slots_are_those_that_others_leave_or_a_share(views, slots):
+    assert available_slots(views) == slots
 
 
-def test_what_runs_take_is_learnt():
+def test_the_ratio_of_actual_to_expected_time_follows_complete_runs():
     work = WorkEstimate()
     for _ in range(200):
         work.note(2.0, 3.0)
--- a/tests/test_result_keeper.py
+++ b/tests/test_result_keeper.py
@@ -11,9 +11,9 @@
 from wigeonfront.rollout.events import Text
 from wigeonfront.rollout.keeping import BATCH_BYTES, ResultKeeper
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
-from wigeonfront.rollout.scheduling import TEXT_SECONDS
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.repository import InDoubt, Kept, NotKept
+from wigeonfront.rollout.scheduling import TEXT_SECONDS
 
 
 class Repository:
--- a/tests/test_reward_call.py
+++ b/tests/test_reward_call.py
@@ -1,4 +1,4 @@
-"""Answers to a reward call over real sockets: what is a score, and what is none."""
+"""Tests which answers to a reward call count as a score, over real sockets."""
 
 import threading
 import time
@@ -82,7 +82,7 @@
         (answer("421 Misdirected Request"), CallRefused),
     ],
 )
-def test_a_score_comes_from_a_whole_answer_to_the_call(script, expected):
+def test_only_a_complete_answer_to_the_call_gives_a_score(script, expected):
     caller, table, _ = make_caller(RawTarget(script).address)
     outcome = send(caller, table)
     if isinstance(expected, type):
@@ -91,7 +91,7 @@
         assert outcome == expected
 
 
-def test_bytes_behind_an_answer_belong_to_no_other_call():
+def test_extra_bytes_after_an_answer_are_not_read_by_the_next_call():
     extra = answer(id="c1", seal="stray")
     target = RawTarget((WHOLE, extra), answer(seal="m2"))
     caller, table, _ = make_caller(target.address)
@@ -114,13 +114,13 @@
     assert "sends_total" in registry.render_text()
 
 
-def test_a_target_that_is_not_there_has_run_nothing():
+def test_a_call_to_an_unreachable_target_counts_as_refused():
     caller, table, _ = make_caller(free_address())
     assert isinstance(send(caller, table), CallRefused)
 
 
 @pytest.mark.parametrize("pause", [0.0, 0.1])
-def test_a_cancelled_call_ends_at_once_and_reaches_no_target_afterwards(pause):
+def test_a_cancelled_call_ends_at_once_and_is_not_sent_afterwards(pause):
     target = RawTarget((b"", "keep"))
     caller, table, _ = make_caller(target.address)
     handle = CallHandle()
@@ -134,7 +134,7 @@
     assert target.requests == (1 if pause else 0)
 
 
-def test_a_late_cancellation_harms_no_other_call():
+def test_a_late_cancellation_does_not_end_another_call():
     service = PlainService(free_address(), "i-1")
     service.start()
     try:
--- a/tests/test_reward_load.py
+++ b/tests/test_reward_load.py
@@ -1,26 +1,26 @@
-"""Plays a burst of reward calls on the targets that answer members' confirmations.
-
-Owners have 40 whole texts each within half a second, as after a power loss or when
-kept texts come again; members ask through four entries, each of which sees its own
-requests only. Targets run six requests at once and the rest in turn.
-
-Share of confirmations in 150 ms, the mean of their slowest twentieth in seconds, and
-the seconds until an owner has its 40 scores, over 40 bursts:
-
-=========  =======  ================  =====  =====  ======
-owners     targets  calls of a process  share   slow  scores
-=========  =======  ================  =====  =====  ======
-3          8        as they come      0.998  0.095   0.916
-3          8        bounded           0.999  0.083   0.888
-3          3        as they come      0.567  0.820   1.572
-3          3        bounded           0.950  0.186   1.559
-1          8        as they come      1.000  0.058   0.849
-1          8        bounded           1.000  0.058   0.866
-1          3        as they come      1.000  0.080   0.860
-1          3        bounded           1.000  0.058   1.405
-=========  =======  ================  =====  =====  ======
-
-The last line is the price: a single owner on few targets waits half a second longer.
+"""Simulates a burst of reward calls on the targets that answer callers' confirmations.
+
+Each owner gets 40 whole texts within half a second, as after a power loss or when kept
+texts are used again. Callers send confirmations through four entries, each of which
+sees only its own requests. Targets run six requests at once and queue the rest.
+
+Share of confirmations within 150 ms, the mean of their slowest twentieth in seconds,
+and the seconds until an owner has its 40 scores, over 40 bursts:
+
+======  =======  ==============  =====  =====  ======
+owners  targets  calls of owner  share  slow   scores
+======  =======  ==============  =====  =====  ======
+3       8        unlimited       0.998  0.095   0.916
+3       8        limited         0.999  0.083   0.888
+3       3        unlimited       0.567  0.820   1.572
+3       3        limited         0.950  0.186   1.559
+1       8        unlimited       1.000  0.058   0.849
+1       8        limited         1.000  0.058   0.866
+1       3        unlimited       1.000  0.080   0.860
+1       3        limited         1.000  0.058   1.405
+======  =======  ==============  =====  =====  ======
+
+The last line shows the cost: a single owner on few targets waits half a second longer.
 """
 
 import heapq
@@ -46,27 +46,27 @@
 CALL_SECONDS = 0.2
 CONFIRM_SECONDS = 0.025
 CONFIRMS_PER_SECOND = 12.0
-PLAYED_SECONDS = 2.5
-AIM_SECONDS = 0.15
+SIMULATED_SECONDS = 2.5
+GOAL_SECONDS = 0.15
 BURSTS = range(40)
 
 
 @dataclass(slots=True)
 class Work:
-    """A request on its way."""
+    """A request that is not answered yet."""
 
     entry: int
     is_call: bool
-    began: float
+    sent_at: float
     seconds: float
     target: int = -1
 
 
 @dataclass
 class World:
-    """Targets, entries and what they have sent."""
+    """Targets, and entries with the requests that they have sent."""
 
-    bounded: bool
+    limited: bool
     targets: int
     queues: list = field(default_factory=lambda: [deque() for _ in range(TARGETS)])
     running: list = field(default_factory=lambda: [0] * TARGETS)
@@ -91,11 +91,11 @@
         ]
 
     def send(self, work, now):
-        """Send a request, if its process finds a place for it."""
+        """Send a request, or let it wait if its process finds no free slot."""
         views, domain = self.views(work.entry), f"z{work.entry}"
-        if work.is_call and self.bounded:
+        if work.is_call and self.limited:
             own = {str(n): count for n, count in self.calls[work.entry].items()}
-            view = choose_call_target(views, own, (), domain, now - work.began)
+            view = choose_call_target(views, own, (), domain, now - work.sent_at)
         else:
             view = choose_target(views, (), domain)
         if view is None:
@@ -119,16 +119,16 @@
         self.sent[work.entry][work.target] -= 1
         self.calls[work.entry][work.target] -= work.is_call
         self.start(work.target, now)
-        self.look(work.entry, now)
+        self.send_waiting(work.entry, now)
 
-    def look(self, entry, now):
-        """Send what waits, while there is room."""
+    def send_waiting(self, entry, now):
+        """Send the waiting requests of an entry while slots are free."""
         for _ in range(len(self.waiting[entry])):
             self.send(self.waiting[entry].popleft(), now)
 
 
-def play(seed, bounded, targets=TARGETS):
-    """Return seconds of each confirmation, and until each owner has its scores."""
+def simulate(seed, limited, targets=TARGETS):
+    """Return each confirmation's seconds, and each owner's seconds until all scores."""
     rng = random.Random(seed)
     arrivals = []
     for owner in range(OWNERS):
@@ -136,11 +136,11 @@
             seconds = CALL_SECONDS * rng.lognormvariate(-0.11, 0.47)
             arrivals.append((rng.uniform(0, BURST_SECONDS), owner, True, seconds))
     at = 0.0
-    while (at := at + rng.expovariate(CONFIRMS_PER_SECOND)) < PLAYED_SECONDS:
+    while (at := at + rng.expovariate(CONFIRMS_PER_SECOND)) < SIMULATED_SECONDS:
         seconds = CONFIRM_SECONDS * rng.lognormvariate(-0.11, 0.47)
         arrivals.append((at, rng.randrange(ENTRIES), False, seconds))
     arrivals.sort()
-    world = World(bounded, targets)
+    world = World(limited, targets)
     confirms, scores = [], [0.0] * OWNERS
     while arrivals or world.ends:
         if world.ends and (not arrivals or world.ends[0][0] <= arrivals[0][0]):
@@ -149,36 +149,39 @@
             if work.is_call:
                 scores[work.entry] = max(scores[work.entry], now)
             else:
-                confirms.append(now - work.began)
+                confirms.append(now - work.sent_at)
         else:
             now, entry, is_call, seconds = arrivals.pop(0)
             world.send(Work(entry, is_call, now, seconds), now)
     return confirms, scores
 
 
-def measure(bounded, targets=TARGETS):
-    """Return the share of confirmations in time, their slow end, and score seconds."""
-    plays = [play(seed, bounded, targets) for seed in BURSTS]
-    confirms = sorted(one for found, _ in plays for one in found)
-    in_time = mean(one <= AIM_SECONDS for one in confirms)
+def measure(limited, targets=TARGETS):
+    """Return the share of confirmations in time, and the mean seconds of slow ones.
+
+    The third value is the mean of the seconds until an owner has its scores.
+    """
+    results = [simulate(seed, limited, targets) for seed in BURSTS]
+    confirms = sorted(seconds for confirms, _ in results for seconds in confirms)
+    in_time = mean(seconds <= GOAL_SECONDS for seconds in confirms)
     slow = mean(confirms[-len(confirms) // 20 :])
-    return in_time, slow, mean(one for _, scores in plays for one in scores)
+    return in_time, slow, mean(seconds for _, scores in results for seconds in scores)
 
 
 @pytest.mark.parametrize(
-    ("targets", "least_share", "most_slow"), [(8, 0.998, 0.09), (3, 0.9, 0.25)]
+    ("targets", "min_share", "max_slow"), [(8, 0.998, 0.09), (3, 0.9, 0.25)]
 )
-def test_members_are_served_sooner_in_a_burst_and_trainers_no_later(
-    targets, least_share, most_slow
+def test_a_limit_serves_callers_sooner_in_a_burst_and_trainers_no_later(
+    targets, min_share, max_slow
 ):
     plain_share, plain_slow, plain_scores = measure(False, targets)
     share, slow, scores = measure(True, targets)
-    assert share >= max(plain_share, least_share)
-    assert slow <= min(plain_slow, most_slow)
+    assert share >= max(plain_share, min_share)
+    assert slow <= min(plain_slow, max_slow)
     assert scores <= plain_scores
 
 
-@pytest.mark.parametrize("bounded", [False, True])
-def test_every_request_is_answered(bounded):
-    confirms, scores = play(3, bounded)
+@pytest.mark.parametrize("limited", [False, True])
+def test_every_request_is_answered(limited):
+    confirms, scores = simulate(3, limited)
     assert confirms and all(scores)
--- a/tests/test_reward_scheduling.py
+++ b/tests/test_reward_scheduling.py
@@ -1,4 +1,4 @@
-"""Which reward call goes first, where, and when again."""
+"""Tests which reward call goes first, to which target, and when it is retried."""
 
 import pytest
 
@@ -11,13 +11,13 @@
     CallRefused,
 )
 from wigeonfront.rollout.reward_scheduling import (
-    LEAST_WAIT_SECONDS,
-    MOST_PAUSE_SECONDS,
+    MAX_PAUSE_SECONDS,
+    MIN_WAIT_SECONDS,
     SLOW_SECONDS,
     choose_call_target,
     due_calls,
-    most_own_calls,
-    most_wait,
+    max_own_calls,
+    max_wait,
     pause_after,
     slow_after,
 )
@@ -30,20 +30,21 @@
 
 
 def progress_of(**groups):
-    """Return a Lot whose samples, by group, have whole texts since a moment.
+    """Return the progress of a Lot, given when the text of each sample became whole.
 
-    A moment of ``None`` stands for a sample that still runs, "done" for a result.
+    The times are listed by group; ``None`` stands for a sample that still runs, and
+    "done" for a sample with a result.
     """
     samples = [
         (sample(f"{group}{number}", group), since)
-        for group, moments in groups.items()
-        for number, since in enumerate(moments)
+        for group, times in groups.items()
+        for number, since in enumerate(times)
     ]
     progress = LotProgress(Lot("l", "h", "/", tuple(s for s, _ in samples)), 1, [])
-    for made, since in samples:
-        state = progress.open[made.id]
+    for item, since in samples:
+        state = progress.open[item.id]
         if since == "done":
-            progress.finish(SampleResult(made.id, True))
+            progress.finish(SampleResult(item.id, True))
         elif since is not None:
             state.text = Text([b"x"], {1})
             state.text_ended(since)
@@ -59,18 +60,18 @@
     [
         # The call that makes a group whole goes first, however late its text was.
         ({"a": [1, 1], "b": [5, "done"]}, ["b0", "a0", "a1"]),
-        # Of equals, the one that has waited longest.
+        # Among equals, the call that has waited longest goes first.
         ({"a": [3], "b": [2]}, ["b0", "a0"]),
-        # A text that still grows has no call.
+        # A text in progress has no call yet.
         ({"a": [None, 1]}, ["a1"]),
         ({"a": [None]}, []),
     ],
 )
-def test_the_call_that_makes_a_group_whole_goes_first(groups, expected):
+def test_calls_go_first_whose_groups_lack_the_fewest_results(groups, expected):
     assert due_ids(progress_of(**groups)) == expected
 
 
-def test_calls_in_progress_or_resting_or_of_an_ended_lot_are_not_due():
+def test_calls_in_progress_or_paused_or_of_an_ended_lot_are_not_due():
     progress = progress_of(a=[1, 1, 1])
     progress.open["a0"].call.sends = 1
     progress.open["a0"].call.sent_at = 10.0
@@ -86,7 +87,7 @@
     ("sends", "sent_at", "due"),
     [(0, 0.0, True), (1, 9.6, False), (1, 9.4, True), (2, 1.0, False)],
 )
-def test_a_second_send_goes_out_while_the_first_takes_long(sends, sent_at, due):
+def test_a_second_send_is_made_only_while_the_first_is_slow(sends, sent_at, due):
     progress = progress_of(a=[1])
     call = progress.open["a0"].call
     call.sends, call.sent_at, call.slow_after = sends, sent_at, SLOW_SECONDS
@@ -94,7 +95,7 @@
 
 
 @pytest.mark.parametrize(("latency", "expected"), [(0.0, 0.5), (0.1, 0.5), (0.8, 2.0)])
-def test_what_takes_long_follows_the_targets_usual_time(latency, expected):
+def test_the_threshold_for_slow_sends_follows_the_targets_latency(latency, expected):
     assert slow_after(latency) == pytest.approx(expected)
 
 
@@ -109,9 +110,9 @@
         ([view("a", 1), view("b")], {}, (), "b"),
         ([view("a"), view("b", 3)], {"a": 2}, (), "b"),
         ([view("a"), view("b", 3)], {}, {"a"}, "b"),
-        # Once every target has been tried, any will do.
+        # Once every target was tried, any may be chosen again.
         ([view("a"), view("b", 3)], {}, {"a", "b"}, "a"),
-        # A target with room that was tried goes before waiting.
+        # A tried target with a free slot is better than waiting.
         ([view("a"), view("b")], {"b": 2}, {"a"}, "a"),
         ([view("a"), view("b")], {"a": 2, "b": 2}, (), None),
         ([view("a", draining=True)], {}, (), None),
@@ -119,7 +120,7 @@
         ([], {}, (), None),
     ],
 )
-def test_a_call_goes_where_there_is_room_and_it_has_not_been(
+def test_a_call_prefers_targets_with_free_slots_that_it_has_not_tried(
     views, own, tried, expected
 ):
     chosen = choose_call_target(views, own, tried, "z")
@@ -127,7 +128,7 @@
 
 
 @pytest.mark.parametrize(
-    ("slots", "waited", "most"),
+    ("slots", "waited", "limit"),
     [
         (0, 0.0, 1),
         (1, 9.0, 1),
@@ -140,36 +141,38 @@
         (12, -1.0, 4),
     ],
 )
-def test_places_are_left_for_callers_until_a_call_has_waited(slots, waited, most):
-    assert most_own_calls(slots, waited) == most
+def test_slots_are_left_for_callers_until_a_call_has_waited(slots, waited, limit):
+    assert max_own_calls(slots, waited) == limit
 
 
 @pytest.mark.parametrize(
     ("latency", "tries", "longest", "expected"),
     [
-        (0.0, 0, 3.0, LEAST_WAIT_SECONDS),
+        (0.0, 0, 3.0, MIN_WAIT_SECONDS),
         (0.4, 0, 3.0, 2.0),
-        (0.0, 1, 3.0, 2 * LEAST_WAIT_SECONDS),
+        (0.0, 1, 3.0, 2 * MIN_WAIT_SECONDS),
         (0.0, 5, 3.0, 3.0),
         (0.0, 2000, 30.0, 30.0),
         (0.4, 0, 0.7, 0.7),
     ],
 )
-def test_each_try_waits_longer_up_to_the_routes_time(latency, tries, longest, expected):
-    assert most_wait(latency, tries, longest) == expected
+def test_the_timeout_doubles_with_each_try_up_to_its_limit(
+    latency, tries, longest, expected
+):
+    assert max_wait(latency, tries, longest) == expected
 
 
 @pytest.mark.parametrize(
-    ("outcome", "tries", "least", "most"),
+    ("outcome", "tries", "min_pause", "max_pause"),
     [
         (CallFailed("status 500"), 1, 0.0, 0.0),
         (CallBroken("reset"), 1, 0.0, 0.0),
         (CallBroken("reset"), 2, 0.1, 0.3),
         (CallRefused("full"), 1, 0.05, 0.2),
         (CallRefused("full"), 4, 0.5, 1.0),
-        (CallRefused("full"), 500, MOST_PAUSE_SECONDS, MOST_PAUSE_SECONDS),
-        (CallBroken("reset"), 500, MOST_PAUSE_SECONDS, MOST_PAUSE_SECONDS),
+        (CallRefused("full"), 500, MAX_PAUSE_SECONDS, MAX_PAUSE_SECONDS),
+        (CallBroken("reset"), 500, MAX_PAUSE_SECONDS, MAX_PAUSE_SECONDS),
     ],
 )
-def test_tries_are_paced(outcome, tries, least, most):
-    assert least <= pause_after(outcome, tries) <= most
+def test_pauses_between_tries_grow(outcome, tries, min_pause, max_pause):
+    assert min_pause <= pause_after(outcome, tries) <= max_pause
--- a/tests/test_rollout_events.py
+++ b/tests/test_rollout_events.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 20, 1000])
-def test_events_are_whole_however_the_bytes_are_cut(size):
+def test_events_are_parsed_whole_from_pieces_of_any_size(size):
     reader = EventReader(FIELD)
     found = []
     for start in range(0, len(STREAM), size):
@@ -17,14 +17,14 @@
     assert reader.rest == b""
 
 
-def test_the_rest_of_a_torn_event_is_no_event():
+def test_an_incomplete_event_at_the_end_is_not_returned():
     reader = EventReader(FIELD)
     assert reader.feed(STREAM + b"id: 3\ndata: to") == EVENTS
     assert reader.rest.startswith(b"id: 3")
 
 
 @pytest.mark.parametrize("id", [0, 1, 3])
-def test_text_takes_only_the_event_that_is_due(id):
+def test_a_text_accepts_only_the_event_with_the_next_id(id):
     text = Text([b"one"], {1})
     assert not text.add(StreamEvent(id, b"x"), 2)
     assert text.add(StreamEvent(2, b"two"), 2)
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("versions", "least", "single", "fits"),
+    ("versions", "min_version", "single", "fits"),
     [
         (set(), 5, True, True),
         ({4}, 5, False, False),
@@ -43,5 +43,5 @@
         ({4, 6}, 5, False, False),
     ],
 )
-def test_stored_text_is_used_only_if_its_versions_fit(versions, least, single, fits):
-    assert Text([b"x"], versions).fits(least, single) is fits
+def test_a_text_fits_only_if_all_its_versions_do(versions, min_version, single, fits):
+    assert Text([b"x"], versions).fits(min_version, single) is fits
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -2,13 +2,14 @@
 
 from wigeonfront.rollout.events import Text
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
+from wigeonfront.rollout.progress import LotProgress, LotTimes
 from wigeonfront.rollout.scheduling import (
     BATCH_SECONDS,
     FIRST_EVENT_SECONDS,
-    MOST_FIRST_EVENT_SECONDS,
+    MAX_FIRST_EVENT_SECONDS,
     TEXT_SECONDS,
-    Needs,
-    Waiting,
+    OpenSample,
+    WeightNeeds,
     batch_due,
     choose_engine,
     engine_priority,
@@ -19,7 +20,6 @@
     texts_due,
     waiting_samples,
 )
-from wigeonfront.rollout.progress import LotProgress, LotTimes
 from wigeonfront.targets.target import Target
 from wigeonfront.targets.views import TargetView
 
@@ -55,18 +55,18 @@
     return TargetView(target, in_flight + others, latency, **(values | fields))
 
 
-def test_long_samples_start_first_and_older_lots_before_younger():
+def test_samples_are_sorted_by_latest_start():
     old = progress([sample("a", tokens=100), sample("b", tokens=4000)])
     young = progress([sample("c", tokens=100), sample("d", tokens=9000)], submitted=1.0)
-    order = [one.state.sample.id for one in waiting_samples([young, old], 0.0)]
+    order = [waiting.state.sample.id for waiting in waiting_samples([young, old], 0.0)]
     assert order == ["d", "b", "a", "c"]
 
 
-def test_running_and_held_back_samples_do_not_wait():
+def test_running_and_paused_samples_are_not_sent():
     lot = progress([sample("a"), sample("b"), sample("c")])
     lot.open["a"].running = True
     lot.open["b"].not_before = 5.0
-    assert [one.state.sample.id for one in waiting_samples([lot], 1.0)] == ["c"]
+    assert [waiting.state.sample.id for waiting in waiting_samples([lot], 1.0)] == ["c"]
     assert len(waiting_samples([lot], 5.0)) == 2
 
 
@@ -76,10 +76,10 @@
         ([engine("a", 3), engine("b", 1)], (), "", "b"),
         ([engine("a", 1), engine("b", 0, others=4)], (), "", "a"),
         ([engine("a", 6), engine("b", 6)], (), "", None),
-        # A group's prompt is read once if its engine is not much fuller.
+        # The engine that runs the group is chosen if it is not much fuller.
         ([engine("a", 3), engine("b", 2)], ("a",), "", "a"),
         ([engine("a", 5), engine("b", 2)], ("a",), "", "b"),
-        # Weights that are known to be too old; unknown ones may do.
+        # Weights that are known to be too old are left out; unknown ones are not.
         ([engine("a", version=2), engine("b", 5, version=3)], (), "", "b"),
         ([engine("a"), engine("b", 5, version=3)], (), "", "a"),
         ([engine("a", version=2)], (), "", None),
@@ -89,18 +89,20 @@
         ([engine("a", available=False)], (), "", None),
         ([engine("a"), engine("b", 5)], (), "a", "b"),
         ([engine("a")], (), "a", "a"),
-        # Engines differ in speed, and slow down as they fill.
+        # Engines differ in speed and slow down as they fill.
         ([engine("a", latency=0.06), engine("b", latency=0.05)], (), "", "b"),
         ([engine("a", latency=0.06), engine("b", 4, latency=0.05)], (), "", "b"),
         ([engine("a", latency=0.06), engine("b", 5, latency=0.05)], (), "", "a"),
         ([engine("a", latency=0.06), engine("b"), engine("c", 5)], (), "", "a"),
-        # A slow engine takes samples only where no other has a place.
+        # A slow engine gets samples only while no other has a free slot.
         ([engine("a", latency=0.2), engine("b", 5, latency=0.04)], (), "", "b"),
         ([engine("a", latency=0.2), engine("b", 6, latency=0.04)], (), "", "a"),
     ],
 )
-def test_the_engine_with_most_room_is_chosen(views, group, avoid, chosen):
-    found = choose_engine(views, Needs(MODEL, 3), frozenset(group), avoid, now=1.0)
+def test_the_engine_that_runs_a_sample_fastest_is_chosen(views, group, avoid, chosen):
+    found = choose_engine(
+        views, WeightNeeds(MODEL, 3), frozenset(group), avoid, now=1.0
+    )
     assert (found.target.id if found else None) == chosen
 
 
@@ -111,17 +113,19 @@
 @pytest.mark.parametrize(
     ("views", "needs", "chosen"),
     [
-        ([CLOSING, NEW], Needs(MODEL, 3), "closing"),
-        ([CLOSING, NEW], Needs(MODEL, 3, single_version=True), "new"),
-        ([CLOSING, OLD], Needs(MODEL, 3, single_version=True), "old"),
-        ([CLOSING], Needs(MODEL, 3, single_version=True), None),
-        ([OLD, NEW], Needs(MODEL, 3, True, text_version=4), "new"),
-        ([CLOSING, NEW], Needs(MODEL, 3, True, text_version=3), "closing"),
-        ([OLD], Needs(MODEL, 3, True, text_version=4), None),
-        ([engine("unknown"), NEW], Needs(MODEL, 3, True, text_version=4), "new"),
+        ([CLOSING, NEW], WeightNeeds(MODEL, 3), "closing"),
+        ([CLOSING, NEW], WeightNeeds(MODEL, 3, single_version=True), "new"),
+        ([CLOSING, OLD], WeightNeeds(MODEL, 3, single_version=True), "old"),
+        ([CLOSING], WeightNeeds(MODEL, 3, single_version=True), None),
+        ([OLD, NEW], WeightNeeds(MODEL, 3, True, text_version=4), "new"),
+        ([CLOSING, NEW], WeightNeeds(MODEL, 3, True, text_version=3), "closing"),
+        ([OLD], WeightNeeds(MODEL, 3, True, text_version=4), None),
+        ([engine("unknown"), NEW], WeightNeeds(MODEL, 3, True, text_version=4), "new"),
     ],
 )
-def test_a_sample_of_one_version_goes_where_that_stays(views, needs, chosen):
+def test_a_single_version_sample_gets_an_engine_that_keeps_its_version(
+    views, needs, chosen
+):
     found = choose_engine(views, needs, frozenset(), "", now=1.0)
     assert (found.target.id if found else None) == chosen
 
@@ -130,11 +134,11 @@
     ("single", "versions", "bound"),
     [(True, {4}, 4), (False, {4}, 0), (True, set(), 0)],
 )
-def test_a_text_binds_only_samples_of_one_version(single, versions, bound):
+def test_a_text_binds_only_single_version_samples_to_a_version(single, versions, bound):
     lot = progress([sample("a")], single_version=single, min_version=3)
     state = lot.open["a"]
     state.text = Text([b"x"] * len(versions), versions)
-    assert Waiting(lot, state).needs == Needs(MODEL, 3, single, bound)
+    assert OpenSample(lot, state).needs == WeightNeeds(MODEL, 3, single, bound)
 
 
 QUICK = engine("quick", latency=0.04)
@@ -145,33 +149,35 @@
 @pytest.mark.parametrize(
     ("pace", "tokens", "moves", "others", "moved"),
     [
-        # Slower than most: it leaves at once, wherever places are free.
+        # Far slower than the others: it moves even if they have no free slot.
         (0.10, 3000, 0, (QUICK, QUICK), True),
         (0.10, 3000, 0, (FULL, FULL), True),
         (0.10, 3000, 0, (SLOW, SLOW, FULL), False),
         (0.10, 9000, 0, (SLOW, SLOW, FULL), False),
-        # A quicker engine with a place must save half a second.
+        # A move to a faster engine with a free slot must save half a second.
         (0.07, 3000, 0, (QUICK, FULL), True),
         (0.07, 3000, 0, (FULL, FULL), False),
         (0.05, 3000, 0, (QUICK,), True),
         (0.045, 3000, 0, (QUICK,), False),
         (0.07, 600, 0, (QUICK,), False),
         (0.10, 3000, 0, (SLOW, SLOW, QUICK), True),
-        # Not for little, not for ever, not into the unknown.
+        # No move of a short rest, beyond the limit, or without a known pace.
         (0.10, 100, 0, (QUICK, QUICK), False),
         (0.10, 3000, 3, (QUICK, QUICK), False),
         (0.10, 3000, 0, (), False),
         (0.10, 3000, 0, (engine("new"),), False),
     ],
 )
-def test_a_run_moves_where_it_ends_sooner(pace, tokens, moves, others, moved):
+def test_a_run_is_moved_if_it_ends_clearly_sooner_elsewhere(
+    pace, tokens, moves, others, moved
+):
     assert should_move(others, pace, tokens, pace / 50, moves) is moved
 
 
 @pytest.mark.parametrize(
     ("tokens", "priority"), [(0, 5), (499, 5), (500, 4), (1000, 3), (2000, 2)]
 )
-def test_long_samples_are_more_urgent_at_engines(tokens, priority):
+def test_long_samples_get_a_higher_priority_at_engines(tokens, priority):
     assert engine_priority(tokens) == priority
 
 
@@ -180,7 +186,7 @@
         assert lot.finish(SampleResult(id, True, b"t", (3,)))
 
 
-def test_results_are_kept_at_once_when_the_wanted_groups_are_whole():
+def test_results_are_written_at_once_when_the_wanted_groups_are_whole():
     groups = [sample(f"{g}{n}", group=g) for g in "xyz" for n in "12"]
     lot = progress(groups, wanted=2)
     lot.flushed_at = 10.0
@@ -191,7 +197,7 @@
     assert batch_due(lot, 10.1)
 
 
-def test_nothing_is_kept_without_results_or_after_the_end():
+def test_nothing_is_written_without_results_or_after_the_end():
     lot = progress([sample("a")])
     assert not batch_due(lot, 99.0)
     finish(lot, "a")
@@ -210,7 +216,7 @@
         (8, 0, TEXT_SECONDS, True, False),
     ],
 )
-def test_texts_are_kept_now_and_then_while_they_grow(
+def test_snapshots_of_growing_texts_are_written_periodically(
     events, saved, elapsed, ended, due
 ):
     lot = progress([sample("a")])
@@ -220,7 +226,7 @@
     assert texts_due(lot, 10.0 + elapsed) is due
 
 
-def test_a_kept_text_is_not_written_again():
+def test_the_extent_of_a_written_snapshot_is_recorded():
     lot = progress([sample("a"), sample("b")])
     lot.open["a"].snapshot = Text([b"x"] * 8, {1})
     texts = lot.snapshots()
@@ -236,11 +242,11 @@
     finish(lot, "b")
     assert lot.begin_batch(1000) is first
     lot.batch_kept(len(lot.kept))
-    assert [one.id for one in lot.kept] == ["a"]
-    assert [one.id for one in lot.begin_batch(1000)] == ["b"]
+    assert [result.id for result in lot.kept] == ["a"]
+    assert [result.id for result in lot.begin_batch(1000)] == ["b"]
 
 
-def test_a_batch_holds_no_more_text_than_a_row():
+def test_a_batch_is_limited_in_bytes_but_holds_one_result_at_least():
     lot = progress([sample("a"), sample("b"), sample("c")])
     finish(lot, "a", "b", "c")
     assert len(lot.begin_batch(2)) == 2
@@ -248,7 +254,7 @@
     assert len(lot.begin_batch(0)) == 1
 
 
-def test_a_sample_has_one_result():
+def test_a_sample_gets_only_one_result():
     lot = progress([sample("a")])
     finish(lot, "a")
     assert not lot.finish(SampleResult("a", False))
@@ -260,13 +266,13 @@
     [
         (0, 0, 0, FIRST_EVENT_SECONDS),
         (3, 0, 1, 2 * FIRST_EVENT_SECONDS),
-        (0, 0, 9, MOST_FIRST_EVENT_SECONDS),
-        # What is full may only let the run wait.
-        (4, 0, 0, MOST_FIRST_EVENT_SECONDS),
-        (2, 2, 0, MOST_FIRST_EVENT_SECONDS),
+        (0, 0, 9, MAX_FIRST_EVENT_SECONDS),
+        # On a full engine the run may only wait for a slot.
+        (4, 0, 0, MAX_FIRST_EVENT_SECONDS),
+        (2, 2, 0, MAX_FIRST_EVENT_SECONDS),
     ],
 )
-def test_an_engine_with_a_free_place_is_left_soon_if_it_is_silent(
+def test_the_first_event_timeout_is_shorter_on_an_engine_with_a_free_slot(
     in_flight, others, silent_runs, expected
 ):
     target = Target("e", "s", "h:1", "z", 4)
@@ -285,7 +291,7 @@
         (6, 0, False, False),
     ],
 )
-def test_where_places_are_short_an_owner_has_half_of_an_engine_to_itself(
+def test_while_slots_are_short_an_owner_may_use_half_of_an_engine(
     own, others, alone, shared
 ):
     target = Target("e", "s", "h:1", "z", 6)
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -1,4 +1,4 @@
-"""Samples whose texts are whole get their scores, with scripted runs and calls."""
+"""Tests the scoring of samples with whole texts, with scripted runs and calls."""
 
 import random
 import threading
@@ -20,7 +20,6 @@
 from wigeonfront.rollout.events import StreamEvent, Text
 from wigeonfront.rollout.inheritance import Inheritance
 from wigeonfront.rollout.lot import Lot, RewardCall, Sample
-from wigeonfront.rollout.scheduling import texts_due
 from wigeonfront.rollout.repository import LotRepository
 from wigeonfront.rollout.reward_call import (
     CallBroken,
@@ -32,6 +31,7 @@
 from wigeonfront.rollout.reward_scheduling import FULL_AFTER_SECONDS, SLOW_SECONDS
 from wigeonfront.rollout.run_outcomes import RunCompleted
 from wigeonfront.rollout.runner import LotRunner
+from wigeonfront.rollout.scheduling import texts_due
 from wigeonfront.spool import SpoolClient
 from wigeonfront.targets.table import TargetTable
 from wigeonfront.targets.target import Target
@@ -75,7 +75,7 @@
 
 
 class Calls:
-    """Reward calls that end as told; the last outcome is given again and again."""
+    """Reward calls that end with given outcomes; the last outcome is repeated."""
 
     def __init__(self, *outcomes):
         self.outcomes = list(outcomes) or [SCORE]
@@ -164,7 +164,7 @@
     return result
 
 
-def test_a_sample_is_completed_with_its_score_only(owners):
+def test_a_sample_is_completed_only_once_it_has_its_score(owners):
     owner = owners()
     owner.calls.held.clear()
     progress = owner.adopt(make_lot())
@@ -183,7 +183,7 @@
     assert owner.calls.sent == []
 
 
-def test_a_whole_text_is_never_generated_again(owners):
+def test_a_whole_text_is_not_generated_again(owners):
     owner = owners()
     whole = Text([b"a", b"b"], {4}, whole=True)
     result = result_of(owner.adopt(make_lot(), {"s1": whole}))
@@ -191,7 +191,7 @@
     assert owner.runs.began == []
 
 
-def test_a_whole_text_under_the_bound_is_generated_again(owners):
+def test_a_whole_text_below_the_minimum_version_is_generated_again(owners):
     owner = owners()
     whole = Text([b"a", b"b"], {3}, whole=True)
     result = result_of(owner.adopt(make_lot(min_version=4), {"s1": whole}))
@@ -205,7 +205,7 @@
     assert (result.text, owner.runs.began) == (b"a", [])
 
 
-def test_a_whole_text_outlives_its_owner(owners):
+def test_a_whole_text_is_scored_by_the_next_owner(owners):
     repository = LotRepository(make_store(), 100_000)
     lot = make_lot()
     revision = repository.accept(lot, "e1").revision
@@ -222,8 +222,8 @@
     assert second.runs.began == []
 
 
-def test_each_lot_asks_for_its_own_score(owners):
-    """The trainer ends the Lot before the score, and the sample comes again."""
+def test_each_lot_sends_its_own_reward_call(owners):
+    """The trainer ends a Lot before the score, and sends the sample in another Lot."""
     owner = owners()
     owner.calls.held.clear()
     owner.adopt(make_lot("l1"))
@@ -237,29 +237,29 @@
 
 
 @pytest.mark.parametrize(
-    ("lot_bound", "route_bound", "sends"), [(2, 3, 3), (5, 3, 5), (1, 1, 1)]
+    ("lot_limit", "route_limit", "sends"), [(2, 3, 3), (5, 3, 5), (1, 1, 1)]
 )
-def test_only_the_targets_own_failures_count_past_both_bounds(
-    owners, lot_bound, route_bound, sends
+def test_a_sample_is_given_up_after_failures_of_targets_past_both_limits(
+    owners, lot_limit, route_limit, sends
 ):
-    route = replace(SCORE_ROUTE, max_attempts=route_bound)
+    route = replace(SCORE_ROUTE, max_attempts=route_limit)
     failures = [CallFailed("status 500")] * (sends - 1)
     others = [CallRefused("full"), CallBroken("reset"), CallBroken("timeout")]
     owner = owners(
         *others, *failures, CallFailed("status 500"), routes=(LOTS_ROUTE, route)
     )
-    result = result_of(owner.adopt(make_lot(max_attempts=lot_bound)))
+    result = result_of(owner.adopt(make_lot(max_attempts=lot_limit)))
     assert not result.completed
     assert len(owner.calls.sent) == len(others) + sends
 
 
-def test_a_try_that_gave_nothing_goes_to_another_target(owners):
+def test_a_call_without_a_score_is_retried_at_another_target(owners):
     owner = owners(CallBroken("reset"), CallBroken("reset"), SCORE)
     result_of(owner.adopt(make_lot()))
     assert len({target for _, target, _ in owner.calls.sent}) == 3
 
 
-def test_a_silent_target_is_not_waited_for_and_its_call_is_ended(owners):
+def test_a_call_to_a_silent_target_is_repeated_elsewhere_and_cancelled(owners):
     owner = owners()
     owner.calls.silent = {"p0"}
     lot = make_lot(
@@ -273,19 +273,19 @@
     progress = owner.adopt(lot)
     wait_for(lambda: not progress.open)
     assert time.monotonic() - started < 2 * SLOW_SECONDS
-    assert {one.score for one in progress.unkept} == {"mark"}
+    assert {result.score for result in progress.unkept} == {"mark"}
     wait_for(lambda: not owner.runner.scoring._calls)
     sent = [call.id for call, target, _ in owner.calls.sent if target == "p0"]
     assert sent and set(owner.calls.cancelled) == set(sent)
 
 
-def test_every_send_may_work_until_the_same_moment(owners):
-    """A target must not be handed more time by a later try than by the first."""
+def test_all_sends_of_a_call_have_the_same_deadline(owners):
+    """A later try must not give a target more time than the first one."""
     owner = owners(CallBroken("reset"), CallFailed("status 500"), SCORE)
     result_of(owner.adopt(make_lot()))
-    given = [seconds for _, _, seconds in owner.calls.sent]
-    assert given == sorted(given, reverse=True)
-    assert given[0] <= 40.0
+    limits = [seconds for _, _, seconds in owner.calls.sent]
+    assert limits == sorted(limits, reverse=True)
+    assert limits[0] <= 40.0
 
 
 @pytest.mark.parametrize(
@@ -296,15 +296,13 @@
         ([Scored("m2")], 1),
     ],
 )
-def test_an_answer_that_does_not_tell_its_end_is_asked_for_again(
-    owners, outcomes, sends
-):
+def test_a_first_answer_without_framing_is_requested_again(owners, outcomes, sends):
     owner = owners(*outcomes)
     assert result_of(owner.adopt(make_lot())).score == "m2"
     assert len(owner.calls.sent) == sends
 
 
-def test_an_ended_lot_sends_no_more_calls(owners):
+def test_a_stopped_lot_sends_no_more_calls(owners):
     owner = owners(CallRefused("full"))
     samples = [
         replace(SAMPLE, id=f"s{n}", reward_call=replace(CALL, id=f"c{n}"))
@@ -317,27 +315,27 @@
     wait_for(lambda: not owner.runner.scoring._calls)
     sent = len(owner.calls.sent)
     owner.calls.held.set()
-    assert not wait_no_more(owner, sent)
+    assert not sent_more_within(owner, sent)
 
 
-def wait_no_more(owner, sent, seconds=0.4):
+def sent_more_within(owner, sent, seconds=0.4):
     """Return whether more calls were sent within some time."""
     threading.Event().wait(seconds)
     return len(owner.calls.sent) > sent
 
 
-def test_a_call_that_no_route_serves_waits(owners, caplog):
+def test_a_call_waits_for_a_route_that_serves_it(owners, caplog):
     owner = owners(routes=(LOTS_ROUTE,))
     with caplog.at_level("INFO"):
         progress = owner.adopt(make_lot())
         wait_for(lambda: "reward_call_unrouted" in caplog.text)
-        assert not wait_no_more(owner, 0, 0.7)
+        assert not sent_more_within(owner, 0, 0.7)
         assert caplog.text.count("reward_call_unrouted") == 1
         owner.routes = (LOTS_ROUTE, SCORE_ROUTE)
         assert result_of(progress).completed
 
 
-def test_a_split_route_has_calls_at_each_of_its_services(owners):
+def test_calls_of_a_split_route_go_to_each_of_its_services(owners):
     shares = (ServiceShare("scorers", 1.0), ServiceShare("engines", 1.0))
     route = replace(SCORE_ROUTE, shares=shares)
     owner = owners(routes=(LOTS_ROUTE, route))
@@ -350,7 +348,7 @@
     assert {target[0] for _, target, _ in owner.calls.sent} == {"p", "e"}
 
 
-def test_a_sample_without_a_score_is_given_up_in_time(owners):
+def test_a_sample_without_a_score_is_given_up_at_its_deadline(owners):
     owner = owners(CallRefused("full"))
     progress = owner.adopt(make_lot(give_up_seconds=0.5))
     result = result_of(progress)
@@ -370,8 +368,8 @@
     ]
 
 
-def test_a_second_send_without_a_target_holds_up_no_first_one(owners):
-    """Six places are taken by calls of higher urgency; the last is for the others."""
+def test_a_second_send_without_a_target_does_not_delay_first_sends(owners):
+    """Calls of higher urgency take six slots; the other calls need the free ones."""
     clock = ManualClock(100.0)
     owner = owners(clock=clock)
     owner.calls.held.clear()
@@ -385,7 +383,7 @@
     wait_for(lambda: len(owner.calls.sent) == 12)
 
 
-def test_calls_of_one_process_leave_places_for_callers_until_they_have_waited(owners):
+def test_calls_of_one_process_leave_slots_for_callers_until_they_have_waited(owners):
     clock = ManualClock(100.0)
     owner = owners(clock=clock)
     samples = [
@@ -394,12 +392,12 @@
     ]
     owner.calls.held.clear()
     progress = owner.adopt(make_lot("l1", *samples, submitted_at=clock.time()))
-    # A third of the four places of each of the three targets.
+    # A third of the four slots, rounded down, at each of the three targets.
     wait_for(lambda: len(owner.calls.sent) == 3)
-    assert not wait_no_more(owner, 3, 0.3)
+    assert not sent_more_within(owner, 3, 0.3)
     clock.advance(FULL_AFTER_SECONDS)
     wait_for(lambda: len(owner.calls.sent) == 12)
-    assert not wait_no_more(owner, 12, 0.3)
+    assert not sent_more_within(owner, 12, 0.3)
     owner.calls.held.set()
     wait_for(lambda: not progress.open)
-    assert len({one.id for one in progress.unkept}) == 20
+    assert len({result.id for result in progress.unkept}) == 20
--- a/tests/test_scoring_machine.py
+++ b/tests/test_scoring_machine.py
@@ -1,4 +1,4 @@
-"""Random walks over the life of samples with reward calls; each send ends at once."""
+"""State machine over samples with reward calls, in which each send ends at once."""
 
 import random
 import threading
@@ -26,7 +26,7 @@
 from wigeonfront.targets.target import Target
 
 SAMPLES = 4
-LOT_BOUND, ROUTE_BOUND = 2, 3
+LOT_LIMIT, ROUTE_LIMIT = 2, 3
 GIVE_UP_SECONDS = 40.0
 OUTCOMES = (
     Scored("mark"),
@@ -38,7 +38,7 @@
 
 
 class InlineThread:
-    """Runs its target where it is started."""
+    """A thread stand-in that runs its target within `start`."""
 
     def __init__(self, target, args, name, daemon):
         self._run = lambda: target(*args)
@@ -69,7 +69,7 @@
             samples,
             submitted_at=self.clock.time(),
             give_up_seconds=GIVE_UP_SECONDS,
-            max_attempts=LOT_BOUND,
+            max_attempts=LOT_LIMIT,
         )
         self.progress = LotProgress(lot, 1, [])
         self.whole_at = {}
@@ -84,7 +84,7 @@
         table.replace(Target(f"p{n}", "s", f"h:{n}", "z", 2) for n in range(2))
         shares = (ServiceShare("s", 1.0),)
         route = Route(
-            "r", "h", "/score/", RouteKind.IDEMPOTENT, shares, 3.0, 0.8, ROUTE_BOUND
+            "r", "h", "/score/", RouteKind.IDEMPOTENT, shares, 3.0, 0.8, ROUTE_LIMIT
         )
         return scoring.Scoring(
             self,
@@ -100,7 +100,7 @@
         )
 
     def send(self, call, view, deadline, run_seconds, handle):
-        """Stand in for the caller."""
+        """Replace `RewardCaller.send`, and return the next outcome."""
         sample = f"s{call.id[1:]}"
         assert not self.ended
         assert sample in self.whole_at
@@ -134,24 +134,24 @@
         if len(self.sent) < 5:
             return
         self.ended = self.progress.ended = True
-        self.scoring.drop(self.progress)
+        self.scoring.cancel_calls(self.progress)
 
     @invariant()
-    def a_completed_sample_has_a_score_and_each_one_result(self):
+    def completed_samples_have_a_score_and_no_sample_has_two_results(self):
         results = self.progress.unkept
-        assert len({one.id for one in results}) == len(results)
-        for one in results:
-            assert one.completed == bool(one.score)
-            assert one.id not in self.progress.open
+        assert len({result.id for result in results}) == len(results)
+        for result in results:
+            assert result.completed == bool(result.score)
+            assert result.id not in self.progress.open
 
     @invariant()
-    def a_sample_is_given_up_past_both_bounds_only(self):
-        for one in self.progress.unkept:
-            if not one.completed:
-                assert self.failures[one.id] == max(LOT_BOUND, ROUTE_BOUND)
+    def a_sample_is_given_up_only_past_both_limits(self):
+        for result in self.progress.unkept:
+            if not result.completed:
+                assert self.failures[result.id] == max(LOT_LIMIT, ROUTE_LIMIT)
 
     @invariant()
-    def nothing_is_in_progress_between_steps(self):
+    def no_call_is_in_progress_between_steps(self):
         assert not self.scoring._calls
         assert all(not state.call.sends for state in self.progress.open.values())
 
