--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -412,7 +412,7 @@
         "rollout/progress.py",
         "        if position == len(self.kept):",
         "        if True:",
-        "test_result_keeper.py",
+        "test_result_writer.py",
     ),
     _mutation(
         "what is given up is closed as if it were whole",
--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -170,7 +170,7 @@
     Mechanism(
         "second sends of reward calls",
         "rollout/progress.py",
-        (("MOST_SENDS = 2", "MOST_SENDS = 1"),),
+        (("MAX_SENDS = 2", "MAX_SENDS = 1"),),
     ),
     Mechanism(
         "claims at once",
@@ -184,7 +184,7 @@
     ),
     Mechanism(
         "one Lot that asks for all",
-        "rollout/keeping.py",
+        "rollout/result_writer.py",
         (
             (
                 "                self._failed = progress.lot.id\n"
--- a/src/wigeonfront/node/entry.py
+++ b/src/wigeonfront/node/entry.py
@@ -379,7 +379,7 @@
         self._view.start(self._supervisor)
         start("registration", self._registration.run)
         start("send", self._runner.send_loop)
-        start("keep", self._runner.keeper.run)
+        start("keep", self._runner.result_writer.run)
         start("spool", self._runner.spooler.run)
         start("score", self._runner.scoring.run)
         start("loads", self._loads.run)
--- a/src/wigeonfront/rollout/__init__.py
+++ b/src/wigeonfront/rollout/__init__.py
@@ -6,7 +6,7 @@
 `overload`, `placing` and `picking` decide what runs next and where, `sample_run` runs
 one sample, `after_run` decides what becomes of it, and `scoring` has its text scored.
 
-Tasks for the caller's supervisor: `LotRunner.send_loop`, `ResultKeeper.run`,
+Tasks for the caller's supervisor: `LotRunner.send_loop`, `ResultWriter.run`,
 `Scoring.run`, `LoadFollower.run` and `Lots.own_loop`. A thread of its own runs each
 sample and each reward call.
 """
--- a/src/wigeonfront/rollout/inheritance.py
+++ b/src/wigeonfront/rollout/initial_state.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inheritance:
+class InitialState:
     """What is there of a Lot; nothing but the disks of a new one.
 
     Attributes
@@ -35,13 +35,13 @@
     known_for: float = 0.0
 
 
-NOTHING = Inheritance()
+EMPTY_STATE = InitialState()
 
 
-def begin_progress(
+def create_progress(
     lot: Lot,
     head_revision: int,
-    left: Inheritance,
+    left: InitialState,
     recent: RecentTexts,
     now: float,
     unix_now: float,
--- a/src/wigeonfront/rollout/lots.py
+++ b/src/wigeonfront/rollout/lots.py
@@ -11,7 +11,7 @@
 from wigeonfront.observability.logs import event
 from wigeonfront.rollout.acceptance import Deferred, LotAcceptance
 from wigeonfront.rollout.head import Head, LotState
-from wigeonfront.rollout.inheritance import Inheritance
+from wigeonfront.rollout.initial_state import InitialState
 from wigeonfront.rollout.known_lots import KnownLot, KnownLots
 from wigeonfront.rollout.lot import Lot
 from wigeonfront.rollout.lot_answers import (
@@ -174,7 +174,7 @@
             if owner != NO_OWNER:
                 self._on_start()
                 revision = outcome.revision if isinstance(outcome, Kept) else 0
-                self._runner.adopt(lot, revision, Inheritance(spools=spools))
+                self._runner.adopt(lot, revision, InitialState(spools=spools))
             return Accepted()
         if isinstance(outcome, AlreadyKept):
             return Accepted(again=True)
@@ -294,7 +294,7 @@
         """Have the store keep what only the spool has; return whether it has."""
         if progress.owed <= len(progress.kept):
             return True
-        return isinstance(self._runner.keeper.keep_rest(progress), Kept)
+        return isinstance(self._runner.result_writer.write_remaining(progress), Kept)
 
     def _end_for(self, lot_id: str, head: Head) -> bool:
         """End a Lot in its owner's place; return whether its end is kept."""
@@ -336,7 +336,7 @@
         if progress.deferred:
             return self._hand_over_deferred(progress)
         texts = self._runner.texts_of(progress)
-        outcome = self._runner.keeper.keep_rest(progress)
+        outcome = self._runner.result_writer.write_remaining(progress)
         if isinstance(outcome, Kept):
             head = self._head_of(progress, NO_OWNER, LotState.OPEN)
             outcome = self._repository.hand_over(
--- a/src/wigeonfront/rollout/progress.py
+++ b/src/wigeonfront/rollout/progress.py
@@ -8,13 +8,13 @@
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
 from wigeonfront.spool import SpoolMember
 
-MOST_SENDS = 2
+MAX_SENDS = 2
 """Sends of one reward call at a time: a target may be silent, or ten times slower than
 the others, and the call of the last sample holds up its whole step."""
 
 
 @dataclass(slots=True)
-class CallState:
+class RewardCallState:
     """The reward call of a sample.
 
     Attributes
@@ -96,7 +96,7 @@
     waits_since: float = 0.0
     snapshot: Text | None = None
     saved: int = 0
-    call: CallState = field(default_factory=CallState)
+    call: RewardCallState = field(default_factory=RewardCallState)
 
     @property
     def text_version(self) -> int:
@@ -121,7 +121,7 @@
     def wants_call(self, now: float) -> bool:
         """Tell whether its reward call is to be sent, for the first time or again."""
         call = self.call
-        if not self.text.whole or call.not_before > now or call.sends >= MOST_SENDS:
+        if not self.text.whole or call.not_before > now or call.sends >= MAX_SENDS:
             return False
         return call.sends == 0 or now - call.sent_at >= call.slow_after
 
@@ -159,7 +159,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LotTimes:
+class SubmissionTimes:
     """When a Lot was submitted, on the monotonic clock of its owner.
 
     Attributes
@@ -175,7 +175,7 @@
     likely_since: float = 0.0
 
 
-def times_of(lot: Lot, known_for: float, now: float, unix_now: float) -> LotTimes:
+def times_of(lot: Lot, known_for: float, now: float, unix_now: float) -> SubmissionTimes:
     """Return when a Lot was submitted, from what can be known of it.
 
     Parameters
@@ -188,7 +188,7 @@
     since = now - known_for
     by_clocks = unix_now - lot.submitted_at
     likely_age = min(max(known_for, by_clocks), known_for + lot.due_seconds)
-    return LotTimes(since, now - likely_age)
+    return SubmissionTimes(since, now - likely_age)
 
 
 class LotProgress:
@@ -229,7 +229,7 @@
         times: "LotTimes | None" = None,
         spools: tuple[SpoolMember, ...] = (),
     ) -> None:
-        times = times or LotTimes()
+        times = times or SubmissionTimes()
         self.spools = spools
         self.writing_since: float | None = None
         self.spooled = 0
--- a/src/wigeonfront/rollout/keeping.py
+++ b/src/wigeonfront/rollout/result_writer.py
@@ -34,7 +34,7 @@
 KeepOutcome = Kept | OwnerReplaced | NotKept | InDoubt
 
 
-class ResultKeeper:
+class ResultWriter:
     """Writes batches of results and the texts of runs in progress.
 
     Parameters
@@ -71,14 +71,14 @@
     def run(self, stop: threading.Event) -> None:
         """Keep what is due (a supervisor's task)."""
         while not stop.is_set():
-            if not self._keep_due():
+            if not self._write_due():
                 stop.wait(STORE_RETRY_SECONDS)
                 continue
             with self._changed:
                 unkept = any(one.unkept or one.in_doubt for one in self._lots())
                 self._changed.wait(KEEP_WAIT_SECONDS if unkept else IDLE_WAIT_SECONDS)
 
-    def keep_rest(self, progress: LotProgress) -> KeepOutcome:
+    def write_remaining(self, progress: LotProgress) -> KeepOutcome:
         """Keep all finished results of a Lot that is no longer run here.
 
         A batch that `run` is writing at the same moment is written twice, which is
@@ -90,7 +90,7 @@
                 return outcome
         return Kept(progress.head_revision)
 
-    def _keep_due(self) -> bool:
+    def _write_due(self) -> bool:
         """Keep what is due; return ``False`` once the store takes no part.
 
         One Lot finds out whether the store is back: each call that is not answered
--- a/src/wigeonfront/rollout/runner.py
+++ b/src/wigeonfront/rollout/runner.py
@@ -1,6 +1,6 @@
 """Runs the Lots that this process owns.
 
-Threads: one that sends what waits, one that keeps results (`ResultKeeper`), one that
+Threads: one that sends what waits, one that keeps results (`ResultWriter`), one that
 spools them meanwhile (`ResultSpooler`), one that sends reward calls (`Scoring`), and
 one for each run and each call. They meet in `LotRunner`, whose lock guards the
 `LotProgress` objects.
@@ -18,8 +18,8 @@
 from wigeonfront.observability.metrics import Registry
 from wigeonfront.rollout.after_run import GiveUp, TextWhole, outcome_of, settle
 from wigeonfront.rollout.events import Text
-from wigeonfront.rollout.inheritance import NOTHING, Inheritance, begin_progress
-from wigeonfront.rollout.keeping import ResultKeeper
+from wigeonfront.rollout.initial_state import EMPTY_STATE, InitialState, create_progress
+from wigeonfront.rollout.result_writer import ResultWriter
 from wigeonfront.rollout.lot import Lot, SampleResult
 from wigeonfront.rollout.order import (
     SNAPSHOT_EVENTS,
@@ -90,7 +90,7 @@
 
     Attributes
     ----------
-    keeper : ResultKeeper
+    result_writer : ResultWriter
         Keeps what the runs generate.
     spooler : ResultSpooler
         Puts results on disks that the store does not take.
@@ -130,7 +130,7 @@
         self._run_revisions: dict[str, int] = {}
         self._recent = RecentTexts()
         self._log = RunLog(metrics)
-        self.keeper = ResultKeeper(
+        self.result_writer = ResultWriter(
             repository,
             lambda: list(self._lots.values()),
             self.stop_lot,
@@ -161,14 +161,14 @@
 
     # --- Lots come and go ----------------------------------------------------
 
-    def adopt(self, lot: Lot, head_revision: int, left: Inheritance = NOTHING) -> None:
+    def adopt(self, lot: Lot, head_revision: int, left: InitialState = EMPTY_STATE) -> None:
         """Begin to run a Lot that this process owns; a second time changes nothing."""
         now = self._clock.monotonic()
         with self._lock:
             known = self._lots.get(lot.id)
             if known is not None and known.head_revision >= head_revision:
                 return
-            progress = begin_progress(
+            progress = create_progress(
                 lot, head_revision, left, self._recent, now, self._clock.time()
             )
             progress.present_since = self._presence().since_revision
--- a/src/wigeonfront/rollout/takeover.py
+++ b/src/wigeonfront/rollout/takeover.py
@@ -10,7 +10,7 @@
 from wigeonfront.coordination.mirror import Mirror
 from wigeonfront.observability.logs import event
 from wigeonfront.rollout.head import Head, LotState
-from wigeonfront.rollout.inheritance import Inheritance
+from wigeonfront.rollout.initial_state import InitialState
 from wigeonfront.rollout.known_lots import KnownLots
 from wigeonfront.rollout.lot import Lot
 from wigeonfront.rollout.ownership import OWNER_GRACE_SECONDS, claimable_lots
@@ -174,6 +174,6 @@
         now = self._clock.monotonic()
         known_for = now - self._heard_at.get(lot_id, now)
         self._on_start()
-        left = Inheritance(results, spooled, head.spools, texts, known_for)
+        left = InitialState(results, spooled, head.spools, texts, known_for)
         self._runner.adopt(lot, head.revision, left)
         return True
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -16,9 +16,9 @@
     ServiceShare,
 )
 from wigeonfront.observability.metrics import Registry
-from wigeonfront.rollout import keeping
+from wigeonfront.rollout import result_writer
 from wigeonfront.rollout.events import StreamEvent, Text
-from wigeonfront.rollout.inheritance import Inheritance
+from wigeonfront.rollout.initial_state import InitialState
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
 from wigeonfront.rollout.order import Waiting
 from wigeonfront.rollout.placing import SamplePlacer
@@ -273,15 +273,15 @@
 
 def test_results_that_a_disk_had_are_kept_as_soon_as_a_lot_is_adopted(monkeypatch):
     """Until then they can't be shown, though the last owner has shown them."""
-    monkeypatch.setattr(keeping, "IDLE_WAIT_SECONDS", 60.0)
+    monkeypatch.setattr(result_writer, "IDLE_WAIT_SECONDS", 60.0)
     runner = make_runner(ScriptedRuns(), {"a": 1})
-    repository = runner.keeper._repository = KeptAt()
+    repository = runner.result_writer._repository = KeptAt()
     stop = threading.Event()
-    thread = threading.Thread(target=runner.keeper.run, args=(stop,), daemon=True)
+    thread = threading.Thread(target=runner.result_writer.run, args=(stop,), daemon=True)
     thread.start()
     wait_for(lambda: runner._results._waiters)
     lot = Lot("l1", "h", "/", (Sample("s1", "/x", (), b""),))
-    runner.adopt(lot, 7, Inheritance(spooled=(SampleResult("s1", True),)))
+    runner.adopt(lot, 7, InitialState(spooled=(SampleResult("s1", True),)))
     wait_for(lambda: repository.batches)
     assert repository.batches == [("l1", 0, ["s1"])]
     stop.set()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -31,7 +31,7 @@
     ranks_in_overload,
     seconds_left,
 )
-from wigeonfront.rollout.progress import LotProgress, LotTimes
+from wigeonfront.rollout.progress import LotProgress, SubmissionTimes
 from wigeonfront.targets.target import Target
 from wigeonfront.targets.views import TargetView
 
@@ -76,7 +76,7 @@
         due_seconds=7.5,
     )
     return Step(
-        trainer, number, now, LotProgress(lot, 1, [], LotTimes(now, now)), tokens
+        trainer, number, now, LotProgress(lot, 1, [], SubmissionTimes(now, now)), tokens
     )
 
 
@@ -182,7 +182,7 @@
         for n in range(size)
     )
     lot = Lot("l", "h", "/", samples, target_groups=wanted, due_seconds=due)
-    return LotProgress(lot, 1, [], LotTimes())
+    return LotProgress(lot, 1, [], SubmissionTimes())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_result_keeper.py
+++ b/tests/test_result_writer.py
@@ -9,7 +9,7 @@
 from wigeonfront.clock import ManualClock
 from wigeonfront.observability.metrics import Registry
 from wigeonfront.rollout.events import Text
-from wigeonfront.rollout.keeping import BATCH_BYTES, ResultKeeper
+from wigeonfront.rollout.result_writer import BATCH_BYTES, ResultWriter
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
 from wigeonfront.rollout.order import TEXT_SECONDS
 from wigeonfront.rollout.progress import LotProgress
@@ -39,7 +39,7 @@
         progress.open[sample.id].snapshot = Text([b"x"], {1})
         lots.append(progress)
     repository = Repository()
-    keeper = ResultKeeper(
+    keeper = ResultWriter(
         repository,
         lambda: lots,
         lambda *arguments: None,
@@ -56,24 +56,24 @@
     keeper, repository, _ = kept
     repository.away = dict.fromkeys("abc", outcome)
     for _ in range(3):
-        assert not keeper._keep_due()
+        assert not keeper._write_due()
     assert len(repository.asked) == 3
     repository.away = {}
-    assert keeper._keep_due()
+    assert keeper._write_due()
     assert set(repository.asked[3:]) == {"a", "b", "c"}
 
 
 def test_a_lot_that_can_not_be_kept_holds_up_no_other(kept):
     keeper, repository, clock = kept
     repository.away = {"a": NotKept("too large")}
-    assert not keeper._keep_due()
-    assert not keeper._keep_due()
+    assert not keeper._write_due()
+    assert not keeper._write_due()
     assert repository.asked == ["a", "b", "c", "a"]
     clock.advance(TEXT_SECONDS)
     for progress in keeper._lots():
         progress.open[f"{progress.lot.id}1"].snapshot = Text([b"x", b"y"], {1})
     repository.asked.clear()
-    assert not keeper._keep_due()
+    assert not keeper._write_due()
     assert repository.asked == ["b", "c", "a"]
 
 
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -18,7 +18,7 @@
 )
 from wigeonfront.observability.metrics import Registry
 from wigeonfront.rollout.events import StreamEvent, Text
-from wigeonfront.rollout.inheritance import Inheritance
+from wigeonfront.rollout.initial_state import InitialState
 from wigeonfront.rollout.lot import Lot, RewardCall, Sample
 from wigeonfront.rollout.order import texts_due
 from wigeonfront.rollout.repository import LotRepository
@@ -134,7 +134,7 @@
             thread.start()
 
     def adopt(self, lot, texts=None):
-        self.runner.adopt(lot, 1, Inheritance(texts=texts or {}))
+        self.runner.adopt(lot, 1, InitialState(texts=texts or {}))
         return self.runner.owned(lot.id)
 
     def close(self):
