--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -185,7 +185,7 @@
     _mutation(
         "small entries own new Lots",
         "rollout/ownership.py",
-        "if one.cores >= LEAST_CORES_SHARE * most}",
+        "if one.cores >= MIN_CORES_SHARE * most}",
         "if True}",
         "test_lot_ownership.py",
     ),
@@ -382,7 +382,7 @@
     _mutation(
         "a Lot is ended without what is on the spool alone",
         "rollout/lots.py",
-        "        if progress.owed <= len(progress.kept):",
+        "        if progress.possibly_shown <= len(progress.kept):",
         "        if True:",
         "test_spooling.py",
     ),
@@ -650,14 +650,14 @@
     _mutation(
         "results without an answer are read nowhere",
         "rollout/progress.py",
-        "return max(self.possibly_kept, self.owed)",
-        "return self.owed",
+        "return max(self.possibly_kept, self.possibly_shown)",
+        "return self.possibly_shown",
         "test_results_in_doubt.py",
     ),
     _mutation(
         "what the last owner showed was read nowhere",
         "rollout/progress.py",
-        "return max(self.possibly_kept, self.owed)",
+        "return max(self.possibly_kept, self.possibly_shown)",
         "return self.possibly_kept",
         "test_spooling.py",
     ),
--- a/src/wigeonfront/node/entry.py
+++ b/src/wigeonfront/node/entry.py
@@ -45,7 +45,7 @@
 from wigeonfront.quarantine import CrashGuard, CrashLedger, CrashWriter
 from wigeonfront.rollout.engine_loads import LoadFollower, LoadServer
 from wigeonfront.rollout.lots import Lots
-from wigeonfront.rollout.owner_calls import EndServer, OwnerServer, SubmissionServer
+from wigeonfront.rollout.owner_calls import EndServer, ResultServer, SubmissionServer
 from wigeonfront.rollout.pending import PendingLots
 from wigeonfront.rollout.repository import LotRepository
 from wigeonfront.rollout.reward_call import RewardCaller
@@ -308,9 +308,9 @@
         return PeerCalls(
             RelayServer(self._meter),
             FeedServer(lambda: self._view.mirrors),
-            OwnerServer(self._lots.read_here),
-            SubmissionServer(self._lots.submit_here),
-            EndServer(self._lots.end_here),
+            ResultServer(self._lots.read_locally),
+            SubmissionServer(self._lots.submit_locally),
+            EndServer(self._lots.end_locally),
             LoadServer(self._table),
             VersionServer(lambda: self._configuration.version),
             {
@@ -383,8 +383,8 @@
         start("spool", self._runner.spooler.run)
         start("score", self._runner.scoring.run)
         start("loads", self._loads.run)
-        start("own", self._lots.own_loop)
-        start("settle", self._lots.settle_loop)
+        start("own", self._lots.takeover_loop)
+        start("settle", self._lots.deferred_head_loop)
         start("crashes", self._crash_writer.run)
         self._assigning.start(self._supervisor)
         for duty in self._duties:
--- a/src/wigeonfront/node/peer_calls.py
+++ b/src/wigeonfront/node/peer_calls.py
@@ -9,10 +9,10 @@
 from wigeonfront.rollout.engine_loads import LOADS_PATH, LoadServer
 from wigeonfront.rollout.owner_calls import (
     END_PATH,
-    OWNER_PATH,
+    RESULTS_PATH,
     SUBMISSION_PATH,
     EndServer,
-    OwnerServer,
+    ResultServer,
     SubmissionServer,
 )
 
@@ -37,7 +37,7 @@
         self,
         relay: RelayServer,
         feed: FeedServer,
-        owner: OwnerServer,
+        owner: ResultServer,
         submissions: SubmissionServer,
         ends: EndServer,
         loads: LoadServer,
@@ -47,7 +47,7 @@
         self._answers = {
             RELAY_PATH: relay.answer,
             FEED_PATH: feed.answer,
-            OWNER_PATH: owner.answer,
+            RESULTS_PATH: owner.answer,
             SUBMISSION_PATH: submissions.answer,
             END_PATH: ends.answer,
             LOADS_PATH: loads.answer,
--- a/src/wigeonfront/node/storage.py
+++ b/src/wigeonfront/node/storage.py
@@ -28,7 +28,7 @@
 from wigeonfront.platform import records
 from wigeonfront.platform.metadata_store import MetadataStore
 from wigeonfront.rollout.repository import LotRepository
-from wigeonfront.rollout.submissions import SubmissionKeeper
+from wigeonfront.rollout.submissions import SubmissionRecovery
 from wigeonfront.spool.file import SpoolFile
 from wigeonfront.spool.server import SpoolServer
 from wigeonfront.supervisor import Supervisor
@@ -83,7 +83,7 @@
                 settings.peer_address, SpoolServer(self._spool).answer, SPOOL_THREADS
             )
             self._registration = self._make_registration(self._spool.disk)
-            self._submissions = SubmissionKeeper(
+            self._submissions = SubmissionRecovery(
                 self._spool,
                 LotRepository(self._store, settings.store_value_bytes),
                 clock,
--- a/src/wigeonfront/node/store_view.py
+++ b/src/wigeonfront/node/store_view.py
@@ -22,7 +22,7 @@
 from wigeonfront.node.settings import NodeSettings
 from wigeonfront.observability.logs import event
 from wigeonfront.platform import records
-from wigeonfront.rollout.pending import DisksSeen
+from wigeonfront.rollout.pending import DiskRegistrations
 from wigeonfront.supervisor import Supervisor
 
 logger = logging.getLogger(__name__)
@@ -112,7 +112,7 @@
             and (member := decode_member(row, STORAGE_PREFIX)) is not None
         ]
 
-    def disks_seen(self) -> DisksSeen:
+    def disks_seen(self) -> DiskRegistrations:
         """Return what is known of processes with a disk, registered or not."""
         registered = self.disks()
         names = {member.name for member in registered}
@@ -122,7 +122,7 @@
         }
         addresses = tuple(member.address for member in registered)
         absent = tuple(sorted(ever - names))
-        return DisksSeen(addresses, absent, self._live_followed_for())
+        return DiskRegistrations(addresses, absent, self._live_followed_for())
 
     def _live_followed_for(self) -> float | None:
         if self.live.failing or not self.live.ready:
--- a/src/wigeonfront/observability/explain.py
+++ b/src/wigeonfront/observability/explain.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
 
-from wigeonfront.rollout.scope import own_name
+from wigeonfront.rollout.scope import unscoped_name
 
 NAMING_FIELDS = ("request", "lot", "sample", "key")
 
@@ -71,7 +71,7 @@
     value = event.get(field)
     if value is None or field != "lot":
         return value == id
-    return id in (value, own_name(value))
+    return id in (value, unscoped_name(value))
 
 
 def _events(lines: Iterable[str]) -> Iterator[Pairs]:
--- a/src/wigeonfront/rollout/__init__.py
+++ b/src/wigeonfront/rollout/__init__.py
@@ -7,6 +7,6 @@
 one sample, `after_run` decides what becomes of it, and `scoring` has its text scored.
 
 Tasks for the caller's supervisor: `LotRunner.send_loop`, `ResultWriter.run`,
-`Scoring.run`, `LoadFollower.run` and `Lots.own_loop`. A thread of its own runs each
+`Scoring.run`, `LoadFollower.run` and `Lots.takeover_loop`. A thread of its own runs each
 sample and each reward call.
 """
--- a/src/wigeonfront/rollout/after_run.py
+++ b/src/wigeonfront/rollout/after_run.py
@@ -79,7 +79,7 @@
 def _(outcome: RunCompleted, run: Run, table: TargetTable, now: float) -> NextStep:
     if _fits(run):
         return TextWhole()
-    run.state.forget_text()
+    run.state.discard_text()
     return RunAgain()
 
 
@@ -118,7 +118,7 @@
     table.saw_version(run.target_id, run.state.sample.model, outcome.version)
     # What another engine can go on from is kept; see `SamplePlacer`.
     if not _fits(run):
-        run.state.forget_text()
+        run.state.discard_text()
     return RunAgain()
 
 
--- a/src/wigeonfront/rollout/initial_state.py
+++ b/src/wigeonfront/rollout/initial_state.py
@@ -5,7 +5,7 @@
 
 from wigeonfront.rollout.events import Text
 from wigeonfront.rollout.lot import Lot, SampleResult
-from wigeonfront.rollout.progress import LotProgress, times_of
+from wigeonfront.rollout.progress import LotProgress, submission_times
 from wigeonfront.rollout.recent_texts import RecentTexts
 from wigeonfront.spool import SpoolMember
 
@@ -57,14 +57,14 @@
     now, unix_now : float
         Monotonic and Unix time.
     """
-    times = times_of(lot, left.known_for, now, unix_now)
+    times = submission_times(lot, left.known_for, now, unix_now)
     progress = LotProgress(lot, head_revision, list(left.results), times, left.spools)
     for result in left.spooled:
         progress.finish(result)
-    progress.owed = len(progress.results)
+    progress.possibly_shown = len(progress.results)
     for id, state in progress.open.items():
         text = recent.take(lot.account, id) or left.texts.get(id)
-        state.waits_since = now
+        state.waiting_since = now
         if text is not None and text.fits(lot.min_version, lot.single_version):
             state.text = text
     return progress
--- a/src/wigeonfront/rollout/known_lots.py
+++ b/src/wigeonfront/rollout/known_lots.py
@@ -13,7 +13,7 @@
 from wigeonfront.rollout.lot import Lot, SampleResult
 from wigeonfront.rollout.lot_answers import LotPage, LotUnavailable, LotUnknown
 from wigeonfront.rollout.owner_calls import OwnerClient
-from wigeonfront.rollout.ownership import surely_owned
+from wigeonfront.rollout.ownership import is_surely_owned
 from wigeonfront.rollout.pending import PendingLots
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.repository import LotRepository, NoLot, NotKept
@@ -221,7 +221,7 @@
             return known.owner if known is not None else ""
         return self._reader_of(head)
 
-    def surely_owned(self, run: LotProgress, presence: Presence) -> bool:
+    def is_surely_owned(self, run: LotProgress, presence: Presence) -> bool:
         """Tell whether a Lot that is run here can have no other owner.
 
         Parameters
@@ -232,7 +232,7 @@
         """
         head = self._mirrored_head(run.lot.id)
         revision = self._mirror.revision
-        return surely_owned(run, presence, head, revision, self._clock.boottime())
+        return is_surely_owned(run, presence, head, revision, self._clock.boottime())
 
     def _mirrored_head(self, lot_id: str) -> Head | None:
         row = self._mirror.get(HEAD_PREFIX + lot_id)
--- a/src/wigeonfront/rollout/lots.py
+++ b/src/wigeonfront/rollout/lots.py
@@ -27,7 +27,7 @@
     OwnerClient,
     ResultsInDoubt,
 )
-from wigeonfront.rollout.ownership import NO_OWNER, owner_for
+from wigeonfront.rollout.ownership import NO_OWNER, preferred_owner
 from wigeonfront.rollout.pending import PendingLots
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.repository import (
@@ -39,7 +39,7 @@
 )
 from wigeonfront.rollout.runner import LotRunner
 from wigeonfront.rollout.spooling import LotSpools
-from wigeonfront.rollout.submissions import Settler, SubmissionStore
+from wigeonfront.rollout.submissions import DeferredHeadWriter, SubmissionStore
 from wigeonfront.rollout.takeover import LotTakeover
 
 logger = logging.getLogger(__name__)
@@ -101,7 +101,7 @@
         self._clock = clock
         self._spools = spools
         self._acceptance = LotAcceptance(repository, submissions)
-        self._settler = Settler(
+        self._settler = DeferredHeadWriter(
             repository,
             submissions,
             lambda: me().incarnation,
@@ -135,7 +135,7 @@
         if self.knows(lot.id):
             return Accepted()
         me = self._me
-        owner = owner_for(lot, self._members(), me.failure_domain)
+        owner = preferred_owner(lot, self._members(), me.failure_domain)
         if owner is not None and owner.name != me.name:
             address = owner.address
             if not self._owners.avoids(address) and self._owners.submit(address, lot):
@@ -144,7 +144,7 @@
                 return Accepted()
         return self._keep(lot)
 
-    def submit_here(self, lot: Lot) -> bool:
+    def submit_locally(self, lot: Lot) -> bool:
         """Keep a Lot that another entry has received; return whether it is kept."""
         if self._takeover.leaving:
             return False
@@ -210,7 +210,7 @@
         head = self._repository.head(lot_id)
         return isinstance(head, Head) and head.state is LotState.ENDED
 
-    def read_here(self, lot_id: str, after: int, wait: float) -> OwnedResults | None:
+    def read_locally(self, lot_id: str, after: int, wait: float) -> OwnedResults | None:
         """Return results of a Lot that is run here, or that has ended here.
 
         ``None`` where this process does not know of all that are kept.
@@ -233,7 +233,7 @@
         if not isinstance(found, OwnedResults) or found.results or after >= found.total:
             return found
         run = self._runner.owned(lot_id)
-        if run is not None and self._known.surely_owned(run, self._presence()):
+        if run is not None and self._known.is_surely_owned(run, self._presence()):
             return found
         return ResultsInDoubt("another entry may own the Lot")
 
@@ -255,7 +255,7 @@
         """
         if self._is_deferred(lot_id):
             return LotUnavailable("not in the store yet")
-        if self.end_here(lot_id):
+        if self.end_locally(lot_id):
             return Accepted()
         owner = self._known.owner_address(lot_id)
         if owner and self._owners.end(owner, lot_id):
@@ -270,7 +270,7 @@
                 return Accepted()
         return LotUnavailable("not ended")
 
-    def end_here(self, lot_id: str) -> bool:
+    def end_locally(self, lot_id: str) -> bool:
         """End a Lot that this process runs; return whether its end is kept."""
         running = self._runner.owned(lot_id)
         if running is None or running.deferred or not self._keep_owed(running):
@@ -292,18 +292,18 @@
 
     def _keep_owed(self, progress: LotProgress) -> bool:
         """Have the store keep what only the spool has; return whether it has."""
-        if progress.owed <= len(progress.kept):
+        if progress.possibly_shown <= len(progress.kept):
             return True
         return isinstance(self._runner.result_writer.write_remaining(progress), Kept)
 
     def _end_for(self, lot_id: str, head: Head) -> bool:
         """End a Lot in its owner's place; return whether its end is kept."""
         if self._runner.owned(lot_id) is not None:
-            return self.end_here(lot_id)
+            return self.end_locally(lot_id)
         if head.spools:
             if self._takeover.leaving or not self._takeover.claim(lot_id, head):
                 return False
-            return self.end_here(lot_id)
+            return self.end_locally(lot_id)
         outcome = self._repository.end(lot_id, head)
         event(logger, "lot_ended", lot=lot_id, outcome=type(outcome).__name__)
         return isinstance(outcome, Kept)
@@ -388,7 +388,7 @@
         """Look at once whether a Lot is to be taken over."""
         self._takeover.look()
 
-    def settle_loop(self, stop: threading.Event) -> None:
+    def deferred_head_loop(self, stop: threading.Event) -> None:
         """Write the heads of Lots that disks have (a supervisor's task)."""
         self._settler.run(stop)
 
@@ -398,7 +398,7 @@
         if progress is not None:
             self._known.remember(progress, final=False)
 
-    def own_loop(self, stop: threading.Event) -> None:
+    def takeover_loop(self, stop: threading.Event) -> None:
         """Take over Lots whose owner is gone (a supervisor's task)."""
         self._takeover.run(stop)
 
--- a/src/wigeonfront/rollout/owner_calls.py
+++ b/src/wigeonfront/rollout/owner_calls.py
@@ -16,11 +16,11 @@
 from wigeonfront.http.raw import RawCall
 from wigeonfront.observability.logs import event
 from wigeonfront.rollout.lot import Lot, SampleResult
-from wigeonfront.rollout.progress import count_within
+from wigeonfront.rollout.progress import count_fitting
 
 logger = logging.getLogger(__name__)
 
-OWNER_PATH = "/lot-results"
+RESULTS_PATH = "/lot-results"
 OK = 200
 NOT_OWNED = 404
 
@@ -48,7 +48,7 @@
 """Longest wait for the owner to end a Lot, ten times what it takes."""
 
 
-class OwnerCall(msgspec.Struct, frozen=True):
+class ResultCall(msgspec.Struct, frozen=True):
     """A reading of results from position `after` on, which may wait for one."""
 
     lot: str
@@ -85,7 +85,7 @@
     reason: str
 
 
-class OwnerServer:
+class ResultServer:
     """Answers other entries about Lots that are or were owned here.
 
     Parameters
@@ -101,7 +101,7 @@
     def answer(self, call: RawCall) -> None:
         """Answer one call over HTTP."""
         try:
-            asked = msgspec.json.decode(call.body(65_536), type=OwnerCall)
+            asked = msgspec.json.decode(call.body(65_536), type=ResultCall)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             event(logger, "bad_owner_call", reason=str(error)[:200])
             call.reply(400)
@@ -111,7 +111,7 @@
         if found is None:
             call.reply(NOT_OWNED)
             return
-        count = count_within(found.results, ANSWER_BYTES)
+        count = count_fitting(found.results, ANSWER_BYTES)
         whole = found.whole and count == len(found.results)
         part = OwnedResults(found.total, found.results[:count], whole)
         call.reply(OK, msgspec.msgpack.encode(part))
@@ -220,9 +220,9 @@
         self, address: str, lot_id: str, after: int, wait: float
     ) -> OwnedResults | None:
         """Return the owner's kept results; ``None`` if it can't tell."""
-        body = msgspec.json.encode(OwnerCall(lot_id, after, wait))
+        body = msgspec.json.encode(ResultCall(lot_id, after, wait))
         seconds = wait + ANSWER_SECONDS
-        answer = self._pools.post(address, OWNER_PATH, body, seconds)
+        answer = self._pools.post(address, RESULTS_PATH, body, seconds)
         if not isinstance(answer, Answer) or answer.status != OK:
             event(logger, "owner_lost", lot=lot_id, owner=address)
             return None
--- a/src/wigeonfront/rollout/ownership.py
+++ b/src/wigeonfront/rollout/ownership.py
@@ -24,7 +24,7 @@
 """Time after which the next member in a Lot's order claims it: the one before may be
 gone, and still be registered."""
 
-LEAST_CORES_SHARE = 0.5
+MIN_CORES_SHARE = 0.5
 """Processor time of a member that owns new Lots, as a share of the most in its failure
 domain: entries differ by a factor of five, and a Lot keeps its owner busy."""
 
@@ -79,17 +79,17 @@
         if machine in successors:
             mine = me == successors[machine]
         else:
-            mine = waited >= claim_pause(lot_id, me, staying)
+            mine = waited >= claim_delay(lot_id, me, staying)
         if mine and waited >= 0:
             claims.append(lot_id)
     return sorted(claims, key=lambda lot_id: heads[lot_id].submitted_at)
 
 
-def surely_owned(
+def is_surely_owned(
     run: LotProgress,
     presence: Presence,
     head: Head | None,
-    copy_revision: int,
+    mirror_revision: int,
     now: float,
 ) -> bool:
     """Tell whether no other process can have taken over a Lot that is run here.
@@ -103,7 +103,7 @@
         Of this process.
     head : Head or None
         In this process's copy of the store's rows.
-    copy_revision : int
+    mirror_revision : int
         Revision of the store that the copy is as of.
     now : float
         Time on the clock that counts suspensions.
@@ -111,13 +111,13 @@
     if head is not None and head.revision > run.head_revision:
         return False
     # The copy shows who took over while this process was not registered.
-    unbroken = run.present_since == presence.since_revision
-    if not unbroken and copy_revision < presence.since_revision:
+    unbroken = run.presence_revision == presence.since_revision
+    if not unbroken and mirror_revision < presence.since_revision:
         return False
     return now < presence.until + OWNER_GRACE_SECONDS - CLOCK_MARGIN_SECONDS
 
 
-def owner_for(
+def preferred_owner(
     lot: Lot, members: Collection[Member], failure_domain: str
 ) -> Member | None:
     """Return the member that should own a new Lot; ``None`` where there is none.
@@ -138,12 +138,12 @@
         if one.failure_domain == failure_domain and not one.leaving
     ]
     most = max((one.cores for one in here), default=0.0)
-    fit = {one.name: one for one in here if one.cores >= LEAST_CORES_SHARE * most}
+    fit = {one.name: one for one in here if one.cores >= MIN_CORES_SHARE * most}
     name = rendezvous.owner(f"{lot.host}{lot.prefix}{lot.model}", fit)
     return fit[name] if name else None
 
 
-def claim_pause(lot_id: str, me: str, live: Collection[str]) -> float:
+def claim_delay(lot_id: str, me: str, live: Collection[str]) -> float:
     """Return how long a member leaves a Lot without an owner to others, in seconds."""
     if me not in live:
         return math.inf
--- a/src/wigeonfront/rollout/pending.py
+++ b/src/wigeonfront/rollout/pending.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DisksSeen:
+class DiskRegistrations:
     """The processes with a disk, as an entry's copy of the store's rows shows them.
 
     Attributes
@@ -56,12 +56,12 @@
     ----------
     spool : SpoolClient
     seen : callable
-        Returns the `DisksSeen` of this entry.
+        Returns the `DiskRegistrations` of this entry.
     clock : Clock
     """
 
     def __init__(
-        self, spool: SpoolClient, seen: Callable[[], DisksSeen], clock: Clock
+        self, spool: SpoolClient, seen: Callable[[], DiskRegistrations], clock: Clock
     ) -> None:
         self._spool = spool
         self._seen = seen
@@ -105,7 +105,7 @@
         return _Listing(frozenset(lots), "", now)
 
 
-def doubt_of_disks(seen: DisksSeen) -> str:
+def doubt_of_disks(seen: DiskRegistrations) -> str:
     """Return why disks that are not registered may have Lots; empty if they have none.
 
     The registration of a process lapses in an outage that lasts longer than its lease.
--- a/src/wigeonfront/rollout/placing.py
+++ b/src/wigeonfront/rollout/placing.py
@@ -98,7 +98,7 @@
                 version=waiting.state.text_version,
                 events=waiting.state.text.last_id,
             )
-            waiting.state.forget_text()
+            waiting.state.discard_text()
         return choose_engine(
             views,
             waiting.needs,
@@ -142,7 +142,7 @@
         if all(view.versions.get(needs.model) != needs.text_version for view in views):
             return True
         tokens = state.text.last_id * self._tokens_for_event(service)
-        waited = self._clock.monotonic() - state.waits_since
+        waited = self._clock.monotonic() - state.waiting_since
         return waited >= tokens * TOKEN_SECONDS
 
     def should_move(self, running: Waiting, view: TargetView, pace: float) -> bool:
--- a/src/wigeonfront/rollout/progress.py
+++ b/src/wigeonfront/rollout/progress.py
@@ -76,7 +76,7 @@
         Runs that ended as no event came.
     not_before : float
         Monotonic time before which it is not sent again.
-    waits_since : float
+    waiting_since : float
         Monotonic time since which nothing of it was generated.
     snapshot : Text or None
         Copy of the text that the run's own thread took between two events.
@@ -93,7 +93,7 @@
     moves: int = 0
     silent_runs: int = 0
     not_before: float = 0.0
-    waits_since: float = 0.0
+    waiting_since: float = 0.0
     snapshot: Text | None = None
     saved: int = 0
     call: RewardCallState = field(default_factory=RewardCallState)
@@ -125,13 +125,13 @@
             return False
         return call.sends == 0 or now - call.sent_at >= call.slow_after
 
-    def forget_text(self) -> None:
+    def discard_text(self) -> None:
         """Begin anew: what was generated may not be used."""
         self.text = Text()
         self.snapshot = None
         self.saved = 0
 
-    def text_ended(self, now: float) -> None:
+    def mark_text_whole(self, now: float) -> None:
         """Note at a monotonic time that the text is whole."""
         self.text.whole = True
         self.snapshot = self.text.copy()
@@ -166,16 +166,16 @@
     ----------
     since : float
         The latest moment at which it can have been: nothing is given up too early.
-    likely_since : float
+    likely : float
         The moment by the clocks of two VMs, which may be wrong by seconds: it decides
         only which samples go first.
     """
 
     since: float = 0.0
-    likely_since: float = 0.0
+    likely: float = 0.0
 
 
-def times_of(lot: Lot, known_for: float, now: float, unix_now: float) -> SubmissionTimes:
+def submission_times(lot: Lot, known_for: float, now: float, unix_now: float) -> SubmissionTimes:
     """Return when a Lot was submitted, from what can be known of it.
 
     Parameters
@@ -215,9 +215,9 @@
         Position up to which all disks of the spool have the results.
     spooled_at : float
         Monotonic time of the last write to the spool.
-    owed : int
+    possibly_shown : int
         Position up to which results may have been shown, here or by an earlier owner.
-    present_since : int
+    presence_revision : int
         Of the owner's `Presence`, its revision as the Lot came to it.
     """
 
@@ -234,16 +234,16 @@
         self.writing_since: float | None = None
         self.spooled = 0
         self.spooled_at = 0.0
-        self.owed = 0
-        self.present_since = 0
-        self.due_at = times.likely_since + lot.due_seconds
+        self.possibly_shown = 0
+        self.presence_revision = 0
+        self.due_at = times.likely + lot.due_seconds
         self.gives_up_at = times.since + lot.give_up_seconds
         self.lot = lot
         self.head_revision = head_revision
         self.kept = list(results)
         self.unkept: list[SampleResult] = []
         self.in_doubt: list[SampleResult] = []
-        self._writes_under_way = 0
+        self._writes_in_flight = 0
         self._answer_lost = False
         self.flushed_at = 0.0
         self.ended = False
@@ -267,7 +267,7 @@
         return [*self.kept, *self.in_doubt, *self.unkept]
 
     @property
-    def shown(self) -> list[SampleResult]:
+    def durable(self) -> list[SampleResult]:
         """The results that outlive this process, in the store or on the spool."""
         if self.spooled <= len(self.kept):
             return self.kept
@@ -279,7 +279,7 @@
 
         The store has a batch before its writer hears of that.
         """
-        doubtful = self._writes_under_way or self._answer_lost
+        doubtful = self._writes_in_flight or self._answer_lost
         return len(self.kept) + (len(self.in_doubt) if doubtful else 0)
 
     @property
@@ -288,7 +288,7 @@
 
         An earlier owner may have shown what this one has from a disk.
         """
-        return max(self.possibly_kept, self.owed)
+        return max(self.possibly_kept, self.possibly_shown)
 
     @property
     def finished(self) -> bool:
@@ -333,7 +333,7 @@
             Text that a batch holds at most, unless one result alone has more.
         """
         if not self.in_doubt:
-            count = count_within(self.unkept, most_bytes)
+            count = count_fitting(self.unkept, most_bytes)
             self.in_doubt = self.unkept[:count]
             self.unkept = self.unkept[count:]
             self._answer_lost = False
@@ -341,7 +341,7 @@
 
     def write_sent(self) -> None:
         """Note that the present batch is on its way to the store."""
-        self._writes_under_way += 1
+        self._writes_in_flight += 1
 
     def write_ended(self, position: int, maybe_done: bool) -> None:
         """Note that the write of the batch at `position` has ended.
@@ -351,7 +351,7 @@
         maybe_done : bool
             Its answer was lost, so that it may have taken effect.
         """
-        self._writes_under_way -= 1
+        self._writes_in_flight -= 1
         if maybe_done and position == len(self.kept):
             self._answer_lost = True
 
@@ -383,7 +383,7 @@
         return True
 
 
-def count_within(results: Sequence[SampleResult], most_bytes: int) -> int:
+def count_fitting(results: Sequence[SampleResult], most_bytes: int) -> int:
     """Return how many of `results` have so much text together, and one at least."""
     count = 0
     for result in results:
--- a/src/wigeonfront/rollout/runner.py
+++ b/src/wigeonfront/rollout/runner.py
@@ -171,7 +171,7 @@
             progress = create_progress(
                 lot, head_revision, left, self._recent, now, self._clock.time()
             )
-            progress.present_since = self._presence().since_revision
+            progress.presence_revision = self._presence().since_revision
             self._lots[lot.id] = progress
             self._run_revisions[lot.id] = head_revision
             whole = [state for state in progress.open.values() if state.text.whole]
@@ -271,7 +271,7 @@
                 if progress is None:
                     return None
                 total = len(progress.lot.samples)
-                shown = progress.shown
+                shown = progress.durable
                 doubtful = len(shown) <= after < progress.possibly_read
                 until = doubt_deadline if doubtful else deadline
                 remaining = until - self._clock.monotonic()
@@ -399,7 +399,7 @@
                 del self._runs[run.key]
             state.running = False
             if events:
-                state.waits_since = self._clock.monotonic()
+                state.waiting_since = self._clock.monotonic()
             if not isinstance(outcome, RunCancelled) and not run.progress.ended:
                 self._settle(run, outcome)
             self._work.notify_all()
@@ -417,7 +417,7 @@
         if state.sample.reward_call is None:
             self._finish(progress, completed(state), "completed")
             return
-        state.text_ended(self._clock.monotonic())
+        state.mark_text_whole(self._clock.monotonic())
         self.scoring.wake()
 
     def _finish(self, progress: LotProgress, result: SampleResult, reason: str) -> None:
--- a/src/wigeonfront/rollout/scope.py
+++ b/src/wigeonfront/rollout/scope.py
@@ -7,7 +7,7 @@
 --------
 >>> scoped_name("studio", "l-1"), scoped_name("", "l-1"), scoped_name("a@b", "l-1")
 ('studio@l-1', '@l-1', 'a%40b@l-1')
->>> own_name("studio@l-1"), own_name("l-1")
+>>> unscoped_name("studio@l-1"), unscoped_name("l-1")
 ('l-1', 'l-1')
 """
 
@@ -28,7 +28,7 @@
     return f"{quote(account, safe='')}{SEPARATOR}{name}"
 
 
-def own_name(lot_id: str) -> str:
+def unscoped_name(lot_id: str) -> str:
     """Return what the account itself calls a Lot."""
     _, separator, name = lot_id.partition(SEPARATOR)
     return name if separator else lot_id
--- a/src/wigeonfront/rollout/spooling.py
+++ b/src/wigeonfront/rollout/spooling.py
@@ -34,7 +34,7 @@
 which is more than the deployment can bear."""
 
 
-def members_for(
+def choose_members(
     lot_id: str, disks: Collection[Member], count: int
 ) -> tuple[SpoolMember, ...]:
     """Return the disks of a new Lot's spool; none where there are too few.
@@ -73,13 +73,13 @@
         return False
     if now - progress.writing_since < SPOOL_AFTER_SECONDS:
         return False
-    if len(progress.results) <= len(progress.shown):
+    if len(progress.results) <= len(progress.durable):
         return False
     whole = progress.whole_groups >= progress.wanted_groups
     return whole or now - progress.spooled_at >= PART_PAUSE_SECONDS
 
 
-def items_to_take(
+def unstored_items(
     kept: Sequence[bytes], position: int, items: Sequence[bytes]
 ) -> Sequence[bytes]:
     """Return the spooled items that follow those that are kept.
@@ -102,11 +102,11 @@
     return items[common:]
 
 
-def results_to_take(
+def unstored_results(
     kept: Sequence[SampleResult], found: Recovered
 ) -> list[SampleResult]:
     """Return the spooled results of a Lot that follow those that are kept."""
-    items = items_to_take([*map(_encode, kept)], found.position, found.items)
+    items = unstored_items([*map(_encode, kept)], found.position, found.items)
     return [msgspec.msgpack.decode(item, type=SampleResult) for item in items]
 
 
@@ -139,7 +139,7 @@
 
     def choose(self, lot_id: str) -> tuple[SpoolMember, ...]:
         """Return the disks of a new Lot's spool."""
-        return members_for(lot_id, self._disks(), self._count)
+        return choose_members(lot_id, self._disks(), self._count)
 
     def recover(
         self,
@@ -158,7 +158,7 @@
         found = self._spool.recover(members, lot_id, fence)
         if isinstance(found, Recovered):
             self._unreached_since.pop(lot_id, None)
-            return results_to_take(kept, found)
+            return unstored_results(kept, found)
         now = self._clock.monotonic()
         since = self._unreached_since.setdefault(lot_id, now)
         if now - since < GIVE_UP_SECONDS:
@@ -210,7 +210,7 @@
     def _write(self, progress: LotProgress) -> bool:
         with self._changed:
             kept = len(progress.kept)
-            position = len(progress.shown)
+            position = len(progress.durable)
             results = progress.results[kept:]
         items = [_encode(result) for result in results]
         lot_id, fence = progress.lot.id, progress.head_revision
@@ -227,7 +227,7 @@
             progress.spooled_at = self._clock.monotonic()
             if done:
                 progress.spooled = max(progress.spooled, kept + len(items))
-                progress.owed = max(progress.owed, progress.spooled)
+                progress.possibly_shown = max(progress.possibly_shown, progress.spooled)
                 self._changed.notify_all()
         return done
 
--- a/src/wigeonfront/rollout/submissions.py
+++ b/src/wigeonfront/rollout/submissions.py
@@ -98,7 +98,7 @@
         self._spool.forget(spools, KEY_PREFIX + lot_id, FENCE, 1)
 
 
-class SubmissionKeeper:
+class SubmissionRecovery:
     """Has the submissions of one disk kept in the store where their entry did not.
 
     Parameters
@@ -150,7 +150,7 @@
         return isinstance(outcome, Kept | AlreadyKept)
 
 
-class Settler:
+class DeferredHeadWriter:
     """Writes the heads of Lots that were accepted here while the store was away.
 
     Parameters
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -159,7 +159,7 @@
     elif state == "leaving":
         owner._lots.leave()
     else:
-        owner._lots.submit_here = lambda lot: time.sleep(2.0)
+        owner._lots.submit_locally = lambda lot: time.sleep(2.0)
         owner._lots._keep = lambda lot: time.sleep(2.0)
     began = time.monotonic()
     assert submit(other, "l1").status == 202
@@ -182,7 +182,7 @@
     for entry in (other, third):
         entry._lots._repository.results = lambda *_: pytest.fail("the store was read")
     asked = []
-    answer = owner._lots.read_here
+    answer = owner._lots.read_locally
     read = other._lots._owners.read
 
     def note(address, lot, after, wait):
--- a/tests/test_lot_ownership.py
+++ b/tests/test_lot_ownership.py
@@ -10,10 +10,10 @@
     CLOCK_MARGIN_SECONDS,
     NO_OWNER,
     OWNER_GRACE_SECONDS,
-    claim_pause,
+    claim_delay,
     claimable_lots,
-    owner_for,
-    surely_owned,
+    preferred_owner,
+    is_surely_owned,
 )
 from wigeonfront.rollout.progress import LotProgress
 
@@ -75,12 +75,12 @@
         one
         for number in range(200)
         for one in live
-        if claim_pause(f"lot-{number}", one, live) == 0.0
+        if claim_delay(f"lot-{number}", one, live) == 0.0
     }
     assert chosen == set(live)
-    pauses = sorted(claim_pause("lot", one, live) for one in live)
+    pauses = sorted(claim_delay("lot", one, live) for one in live)
     assert pauses == [number * CLAIM_STEP_SECONDS for number in range(7)]
-    assert claim_pause("lot", "gone.x", live) == math.inf
+    assert claim_delay("lot", "gone.x", live) == math.inf
 
 
 def test_the_next_member_claims_a_lot_that_the_first_does_not():
@@ -111,7 +111,7 @@
 
 def owners_of(members, models=40, domain="z1"):
     lots = [make_lot(model=f"m{number}") for number in range(models)]
-    found = [owner_for(lot, members, domain) for lot in lots]
+    found = [preferred_owner(lot, members, domain) for lot in lots]
     return {one.name for one in found if one is not None}
 
 
@@ -136,11 +136,11 @@
 def test_all_lots_of_a_trainer_have_one_owner_also_as_others_come_and_go():
     members = [member(f"n{number}") for number in range(8)]
     lots = [make_lot(f"lot-{number}", model="m") for number in range(9)]
-    (owner,) = {owner_for(lot, members, "z1").name for lot in lots}
+    (owner,) = {preferred_owner(lot, members, "z1").name for lot in lots}
     others = [one for one in members if one.name != owner]
     for gone in others:
         left = [one for one in members if one is not gone]
-        assert owner_for(lots[0], left, "z1").name == owner
+        assert preferred_owner(lots[0], left, "z1").name == owner
 
 
 LAST = 100.0 + OWNER_GRACE_SECONDS - CLOCK_MARGIN_SECONDS
@@ -152,12 +152,12 @@
         pytest.param({}, True, id="registered"),
         pytest.param({"now": LAST - 0.01}, True, id="lapsed, nobody takes over yet"),
         pytest.param({"now": LAST}, False, id="others may have taken over"),
-        pytest.param({"present_since": 0}, False, id="was missing, copy too old"),
+        pytest.param({"presence_revision": 0}, False, id="was missing, copy too old"),
         pytest.param(
-            {"present_since": 0, "copy": 20}, True, id="was missing, nobody took over"
+            {"presence_revision": 0, "copy": 20}, True, id="was missing, nobody took over"
         ),
         pytest.param(
-            {"present_since": 0, "copy": 20, "head": 19}, False, id="was replaced"
+            {"presence_revision": 0, "copy": 20, "head": 19}, False, id="was replaced"
         ),
         pytest.param({"head": 8}, True, id="its own head"),
         pytest.param({"head": 9}, False, id="another head"),
@@ -169,14 +169,14 @@
 def test_whether_a_lot_that_is_run_here_may_have_another_owner(changes, sure):
     state = {
         "run": 8,
-        "present_since": 20,
+        "presence_revision": 20,
         "presence": Presence(20, 100.0),
         "copy": 10,
         "head": None,
         "now": 99.0,
     } | changes
     run = LotProgress(make_lot(), state["run"], [])
-    run.present_since = state["present_since"]
+    run.presence_revision = state["presence_revision"]
     head = state["head"] and Head("", LotState.OPEN, 3, revision=state["head"])
-    found = surely_owned(run, state["presence"], head, state["copy"], state["now"])
+    found = is_surely_owned(run, state["presence"], head, state["copy"], state["now"])
     assert found is sure
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -127,7 +127,7 @@
     progress = LotProgress(LOT, 1, [])
     state = progress.open["s1"]
     state.text = Text([b"x"] * events, {4})
-    state.waits_since = clock.monotonic()
+    state.waiting_since = clock.monotonic()
     clock.advance(waited)
     placer = SamplePlacer(table, lambda: None, clock)
     view = placer.place(Waiting(progress, state), "s", frozenset())
--- a/tests/test_lot_times.py
+++ b/tests/test_lot_times.py
@@ -5,7 +5,7 @@
 from rows_fakes import wait_for
 from test_scoring import Calls, Owner, make_lot
 from wigeonfront.clock import ManualClock
-from wigeonfront.rollout.progress import LotProgress, times_of
+from wigeonfront.rollout.progress import LotProgress, submission_times
 
 JUMPS = (-30.0, -2.0, 2.0, 30.0)
 
@@ -70,7 +70,7 @@
     """It has heard of the Lot so long ago; the two clocks differ by `skew`."""
     lot = make_lot(give_up_seconds=40.0, due_seconds=7.5, submitted_at=1_000.0)
     now, unix_now = 500.0, 1_000.0 + known_for + skew
-    progress = LotProgress(lot, 1, [], times_of(lot, known_for, now, unix_now))
+    progress = LotProgress(lot, 1, [], submission_times(lot, known_for, now, unix_now))
     assert (now >= progress.gives_up_at) == (known_for >= 40.0)
     # The order of Lots may be off by as much as a Lot has time, and no more.
     assert now - known_for <= progress.due_at <= now - known_for + 7.5
@@ -80,5 +80,5 @@
     clock = WrongClock()
     ages = (3.0, 1.0)
     lots = [make_lot(due_seconds=7.5, submitted_at=clock.time() - age) for age in ages]
-    times = [times_of(lot, 0.0, clock.monotonic(), clock.time()) for lot in lots]
-    assert times[0].likely_since < times[1].likely_since
+    times = [submission_times(lot, 0.0, clock.monotonic(), clock.time()) for lot in lots]
+    assert times[0].likely < times[1].likely
--- a/tests/test_pending.py
+++ b/tests/test_pending.py
@@ -6,7 +6,7 @@
 from wigeonfront.coordination.membership import LONGEST_ABSENCE_SECONDS
 from wigeonfront.rollout.pending import (
     LISTING_SECONDS,
-    DisksSeen,
+    DiskRegistrations,
     PendingLots,
     doubt_of_disks,
 )
@@ -31,7 +31,7 @@
 
 
 def make_pending(spool, addresses=("d1", "d2"), clock=None):
-    seen = DisksSeen(addresses, (), 60.0)
+    seen = DiskRegistrations(addresses, (), 60.0)
     return PendingLots(spool, lambda: seen, clock or ManualClock())
 
 
@@ -48,7 +48,7 @@
     ],
 )
 def test_disks_that_are_not_registered(absent, followed_for, doubt):
-    assert doubt_of_disks(DisksSeen(("d1",), absent, followed_for)) == doubt
+    assert doubt_of_disks(DiskRegistrations(("d1",), absent, followed_for)) == doubt
 
 
 @pytest.mark.parametrize(
--- a/tests/test_reward_order.py
+++ b/tests/test_reward_order.py
@@ -46,7 +46,7 @@
             progress.finish(SampleResult(made.id, True))
         elif since is not None:
             state.text = Text([b"x"], {1})
-            state.text_ended(since)
+            state.mark_text_whole(since)
     return progress
 
 
--- a/tests/test_scoring_machine.py
+++ b/tests/test_scoring_machine.py
@@ -116,7 +116,7 @@
         if state is None or state.text.whole:
             return
         state.text = Text([b"x"], {1})
-        state.text_ended(self.clock.monotonic())
+        state.mark_text_whole(self.clock.monotonic())
         self.whole_at[f"s{number}"] = self.clock.monotonic()
 
     @rule(outcome=st.sampled_from(OUTCOMES))
--- a/tests/test_spool.py
+++ b/tests/test_spool.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from wigeonfront.clock import ManualClock
-from wigeonfront.rollout.spooling import items_to_take
+from wigeonfront.rollout.spooling import unstored_items
 from wigeonfront.spool.calls import (
     Append,
     Done,
@@ -359,7 +359,7 @@
             if lost_answers and self.lost == 0:
                 lost_answers = 0
                 continue
-            found = items_to_take(items(*kept), answer.position, answer.items)
+            found = unstored_items(items(*kept), answer.position, answer.items)
             found = [name.decode() for name in found]
             self.owners.append(Owner(self.revision, kept, found))
             return
@@ -385,7 +385,7 @@
     ],
 )
 def test_items_that_a_later_owner_has_replaced_are_void(kept, position, held, taken):
-    found = items_to_take(items(*kept), position, items(*held))
+    found = unstored_items(items(*kept), position, items(*held))
     assert tuple(found) == items(*taken)
 
 
--- a/tests/test_spooling.py
+++ b/tests/test_spooling.py
@@ -19,7 +19,7 @@
 from wigeonfront.rollout.spooling import (
     PART_PAUSE_SECONDS,
     SPOOL_AFTER_SECONDS,
-    members_for,
+    choose_members,
     spool_due,
 )
 from wigeonfront.spool import SpoolMember
@@ -298,7 +298,7 @@
 )
 def test_disks_of_a_lot_are_in_different_failure_domains(places, count, domains):
     for number in range(20):
-        found = members_for(f"lot-{number}", disks(*places), count)
+        found = choose_members(f"lot-{number}", disks(*places), count)
         assert len(found) == (count if domains else 0)
         assert len({places[int(one.disk[5:])] for one in found}) == domains
         assert len(set(found)) == len(found)
@@ -308,7 +308,7 @@
     chosen = {
         one.disk
         for number in range(50)
-        for one in members_for(f"lot-{number}", disks(*"abcde"), 3)
+        for one in choose_members(f"lot-{number}", disks(*"abcde"), 3)
     }
     assert len(chosen) == 5
 
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -24,9 +24,9 @@
 from wigeonfront.rollout.submissions import (
     KEY_PREFIX,
     OWNER_SECONDS,
-    Settler,
+    DeferredHeadWriter,
     Stored,
-    SubmissionKeeper,
+    SubmissionRecovery,
     SubmissionStore,
 )
 from wigeonfront.spool import SpoolMember
@@ -234,7 +234,7 @@
 
 def make_settler(rows, disks):
     told = []
-    settler = Settler(
+    settler = DeferredHeadWriter(
         LotRepository(rows, 1_000_000),
         disks,
         lambda: ME,
@@ -293,7 +293,7 @@
 def test_a_disk_has_a_lot_kept_that_nobody_else_does(rows, disk):
     clock = ManualClock()
     repository = LotRepository(rows, 1_000_000)
-    keeper = SubmissionKeeper(disk, repository, clock)
+    keeper = SubmissionRecovery(disk, repository, clock)
     SubmissionStore(DirectSpool(disk)).put(LOT, SPOOLS)
     rows.faults.down = True
     keeper.look()
@@ -318,7 +318,7 @@
     repository = LotRepository(rows, 1_000_000)
     SubmissionStore(DirectSpool(disk)).put(LOT, SPOOLS)
     repository.accept(LOT, ME, SPOOLS)
-    SubmissionKeeper(disk, repository, ManualClock()).look()
+    SubmissionRecovery(disk, repository, ManualClock()).look()
     assert not disk.held(KEY_PREFIX)
     assert repository.head(LOT.id).owner == ME
 
