--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -178,15 +178,15 @@
     _mutation(
         "a leaving entry owns new Lots",
         "rollout/ownership.py",
-        "if one.failure_domain == failure_domain and not one.leaving",
-        "if one.failure_domain == failure_domain",
+        "if member.failure_domain == failure_domain and not member.leaving",
+        "if member.failure_domain == failure_domain",
         "test_lot_ownership.py",
     ),
     _mutation(
         "small entries own new Lots",
         "rollout/ownership.py",
-        "if one.cores >= MIN_CORES_SHARE * most}",
-        "if True}",
+        "if member.cores >= MIN_CORES_SHARE * max_cores",
+        "if True",
         "test_lot_ownership.py",
     ),
     _mutation(
@@ -396,8 +396,8 @@
     _mutation(
         "a Lot is run here again under one revision",
         "rollout/takeover.py",
-        "again = self._runner.has_run(lot_id, revision)",
-        "again = False",
+        "ran_before = self._runner.has_run(lot_id, revision)",
+        "ran_before = False",
         "test_spooling.py",
     ),
     _mutation(
@@ -642,7 +642,7 @@
     _mutation(
         "a disk that is not registered has no Lots",
         "rollout/pending.py",
-        "if seen.absent and seen.followed_for < LONGEST_ABSENCE_SECONDS:",
+        "if disks.absent and disks.followed_for < LONGEST_ABSENCE_SECONDS:",
         "if False:",
         "test_pending.py",
         "test_submissions.py",
--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -201,7 +201,7 @@
     Mechanism(
         "one owner for each trainer",
         "rollout/ownership.py",
-        (("    return fit[name] if name else None", "    return None"),),
+        (("    return eligible[name] if name else None", "    return None"),),
     ),
     Mechanism(
         "long leases of idle entries",
--- a/src/wigeonfront/rollout/known_lots.py
+++ b/src/wigeonfront/rollout/known_lots.py
@@ -164,7 +164,7 @@
         """Read a Lot's head row; `LotUnknown` only where no such Lot is accepted."""
         head = self._repository.head(lot_id)
         if isinstance(head, NoLot):
-            doubt = self._pending.doubt(lot_id)
+            doubt = self._pending.doubt_reason(lot_id)
             if doubt:
                 return LotUnavailable(doubt)
             head = self._repository.head(lot_id)
@@ -185,7 +185,7 @@
         if have > after or known.complete:
             return LotPage(known.total, known.results[after:])
         head = self._mirrored_head(lot_id)
-        owner = self._reader_of(head) if head is not None else known.owner
+        owner = self._read_address(head) if head is not None else known.owner
         if owner:
             # What is remembered ends where a batch ends; the store is read on there.
             start = have if after <= have else after
@@ -219,7 +219,7 @@
         if head is None:
             known = self.get(lot_id)
             return known.owner if known is not None else ""
-        return self._reader_of(head)
+        return self._read_address(head)
 
     def is_surely_owned(self, run: LotProgress, presence: Presence) -> bool:
         """Tell whether a Lot that is run here can have no other owner.
@@ -238,7 +238,7 @@
         row = self._mirror.get(HEAD_PREFIX + lot_id)
         return decode_head(row) if row is not None else None
 
-    def _reader_of(self, head: Head) -> str:
+    def _read_address(self, head: Head) -> str:
         """Return the address at which another process's Lot is read; empty for none.
 
         A Lot that has ended is all in the store, which is as near as an owner in
--- a/src/wigeonfront/rollout/lots.py
+++ b/src/wigeonfront/rollout/lots.py
@@ -51,7 +51,7 @@
 HAND_OVER_PAUSE_SECONDS = 0.2
 """Pause before a store that took no part in a hand-over is asked again."""
 
-END_TRIES = 4
+END_ATTEMPTS = 4
 
 
 class Lots:
@@ -101,13 +101,13 @@
         self._clock = clock
         self._spools = spools
         self._acceptance = LotAcceptance(repository, submissions)
-        self._settler = DeferredHeadWriter(
+        self._head_writer = DeferredHeadWriter(
             repository,
             submissions,
             lambda: me().incarnation,
             runner.deferred,
             runner.settle,
-            self._give_up,
+            self._stop_foreign_lot,
         )
         self._known = KnownLots(
             repository, mirror, self._owners, me, members, pending, clock
@@ -138,7 +138,7 @@
         owner = preferred_owner(lot, self._members(), me.failure_domain)
         if owner is not None and owner.name != me.name:
             address = owner.address
-            if not self._owners.avoids(address) and self._owners.submit(address, lot):
+            if not self._owners.is_avoided(address) and self._owners.submit(address, lot):
                 kept = KnownLot(len(lot.samples), [], lot, owner=address)
                 self._known.add(lot.id, kept)
                 return Accepted()
@@ -260,7 +260,7 @@
         owner = self._known.owner_address(lot_id)
         if owner and self._owners.end(owner, lot_id):
             return Accepted()
-        for _ in range(END_TRIES):
+        for _ in range(END_ATTEMPTS):
             head = self._known.head(lot_id)
             if not isinstance(head, Head):
                 return head
@@ -272,25 +272,25 @@
 
     def end_locally(self, lot_id: str) -> bool:
         """End a Lot that this process runs; return whether its end is kept."""
-        running = self._runner.owned(lot_id)
-        if running is None or running.deferred or not self._keep_owed(running):
+        progress = self._runner.owned(lot_id)
+        if progress is None or progress.deferred or not self._store_shown_results(progress):
             return False
         progress = self._runner.stop_lot(lot_id, "ended by the trainer")
         if progress is None:
             return False
-        kept = self._keep_owed(progress)
+        kept = self._store_shown_results(progress)
         if kept:
-            head = self._head_of(progress, self._me.incarnation, LotState.OPEN)
+            head = self._make_head(progress, self._me.incarnation, LotState.OPEN)
             kept = isinstance(self._repository.end(lot_id, head), Kept)
         event(logger, "lot_ended", lot=lot_id, kept=kept)
         self._known.remember(progress, final=kept)
         return kept
 
     def _is_deferred(self, lot_id: str) -> bool:
-        running = self._runner.owned(lot_id)
-        return running is not None and running.deferred
+        progress = self._runner.owned(lot_id)
+        return progress is not None and progress.deferred
 
-    def _keep_owed(self, progress: LotProgress) -> bool:
+    def _store_shown_results(self, progress: LotProgress) -> bool:
         """Have the store keep what only the spool has; return whether it has."""
         if progress.possibly_shown <= len(progress.kept):
             return True
@@ -338,7 +338,7 @@
         texts = self._runner.texts_of(progress)
         outcome = self._runner.result_writer.write_remaining(progress)
         if isinstance(outcome, Kept):
-            head = self._head_of(progress, NO_OWNER, LotState.OPEN)
+            head = self._make_head(progress, NO_OWNER, LotState.OPEN)
             outcome = self._repository.hand_over(
                 progress.lot.id, progress.head_revision, head, texts
             )
@@ -360,7 +360,7 @@
         event(logger, "lot_handed_over", lot=lot.id, outcome=type(outcome).__name__)
         return isinstance(outcome, Kept | AlreadyKept)
 
-    def _head_of(self, progress: LotProgress, owner: str, state: LotState) -> Head:
+    def _make_head(self, progress: LotProgress, owner: str, state: LotState) -> Head:
         """Return the head row of a Lot that this process owned."""
         lot = progress.lot
         parts = self._repository.part_count(lot)
@@ -386,13 +386,13 @@
 
     def owners_changed(self) -> None:
         """Look at once whether a Lot is to be taken over."""
-        self._takeover.look()
+        self._takeover.wake()
 
     def deferred_head_loop(self, stop: threading.Event) -> None:
         """Write the heads of Lots that disks have (a supervisor's task)."""
-        self._settler.run(stop)
+        self._head_writer.run(stop)
 
-    def _give_up(self, lot_id: str) -> None:
+    def _stop_foreign_lot(self, lot_id: str) -> None:
         """Leave a Lot to its owner that was accepted here, too."""
         progress = self._runner.stop_lot(lot_id, "accepted elsewhere")
         if progress is not None:
--- a/src/wigeonfront/rollout/owner_calls.py
+++ b/src/wigeonfront/rollout/owner_calls.py
@@ -28,7 +28,7 @@
 ANSWER_SECONDS = 0.5
 """How much longer than it asked to a reader waits before it asks the store."""
 
-MOST_WAIT_SECONDS = 2.0
+MAX_WAIT_SECONDS = 2.0
 
 ANSWER_BYTES = 1_000_000
 """Text in one answer: what a reader is given at once."""
@@ -41,7 +41,7 @@
 """How long an entry that has kept no Lot when asked is not asked again: about the term
 of the lease by which it counts as alive."""
 
-MOST_SUBMISSION_BYTES = 64 * 1024 * 1024
+MAX_SUBMISSION_BYTES = 64 * 1024 * 1024
 
 END_PATH = "/lot-ends"
 END_SECONDS = 0.5
@@ -106,7 +106,7 @@
             event(logger, "bad_owner_call", reason=str(error)[:200])
             call.reply(400)
             return
-        wait = min(asked.wait, MOST_WAIT_SECONDS)
+        wait = min(asked.wait, MAX_WAIT_SECONDS)
         found = self._read(asked.lot, asked.after, wait)
         if found is None:
             call.reply(NOT_OWNED)
@@ -138,7 +138,7 @@
     def answer(self, call: RawCall) -> None:
         """Answer one call over HTTP."""
         try:
-            lot = msgspec.msgpack.decode(call.body(MOST_SUBMISSION_BYTES), type=Lot)
+            lot = msgspec.msgpack.decode(call.body(MAX_SUBMISSION_BYTES), type=Lot)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             event(logger, "bad_submission", reason=str(error)[:200])
             call.reply(400)
@@ -183,7 +183,7 @@
         self._pools = Pools(CONNECT_SECONDS)
         self._avoided: dict[str, float] = {}
 
-    def avoids(self, address: str) -> bool:
+    def is_avoided(self, address: str) -> bool:
         """Tell whether an entry has lately kept no Lot when asked."""
         return self._clock.monotonic() < self._avoided.get(address, 0.0)
 
@@ -203,7 +203,7 @@
             reason = answer.reason
         elif answer.status != OK:
             reason = f"status {answer.status}"
-        elif not _kept(answer):
+        elif not _is_kept(answer):
             reason = "not kept"
         if reason:
             self._avoided[address] = self._clock.monotonic() + AVOID_SECONDS
@@ -233,7 +233,7 @@
             return None
 
 
-def _kept(answer: Answer) -> bool:
+def _is_kept(answer: Answer) -> bool:
     try:
         return msgspec.msgpack.decode(answer.body, type=SubmissionAnswer).kept
     except msgspec.DecodeError:
--- a/src/wigeonfront/rollout/ownership.py
+++ b/src/wigeonfront/rollout/ownership.py
@@ -58,9 +58,11 @@
         Lots that it runs already.
     """
     live = {member.incarnation for member in members}
-    staying = sorted(one.incarnation for one in members if not one.leaving)
-    successors = {_machine(incarnation): incarnation for incarnation in staying}
-    replaced = {_machine(incarnation) for incarnation in live}
+    staying = sorted(
+        member.incarnation for member in members if not member.leaving
+    )
+    successors = {_machine_name(incarnation): incarnation for incarnation in staying}
+    replaced = {_machine_name(incarnation) for incarnation in live}
     claims = []
     for lot_id, head in heads.items():
         if head.state is not LotState.OPEN:
@@ -71,7 +73,7 @@
             continue
         if head.owner in live:
             continue
-        machine = _machine(head.owner)
+        machine = _machine_name(head.owner)
         restarted = head.owner == NO_OWNER or machine in replaced
         waited = now - missing_since.get(head.owner, now)
         if not restarted:
@@ -132,29 +134,29 @@
     failure_domain : str
         In which the Lot has arrived.
     """
-    here = [
-        one
-        for one in members
-        if one.failure_domain == failure_domain and not one.leaving
+    in_domain = [
+        member
+        for member in members
+        if member.failure_domain == failure_domain and not member.leaving
     ]
-    most = max((one.cores for one in here), default=0.0)
-    fit = {one.name: one for one in here if one.cores >= MIN_CORES_SHARE * most}
-    name = rendezvous.owner(f"{lot.host}{lot.prefix}{lot.model}", fit)
-    return fit[name] if name else None
+    max_cores = max((member.cores for member in in_domain), default=0.0)
+    eligible = {member.name: member for member in in_domain if member.cores >= MIN_CORES_SHARE * max_cores}
+    name = rendezvous.owner(f"{lot.host}{lot.prefix}{lot.model}", eligible)
+    return eligible[name] if name else None
 
 
 def claim_delay(lot_id: str, me: str, live: Collection[str]) -> float:
     """Return how long a member leaves a Lot without an owner to others, in seconds."""
     if me not in live:
         return math.inf
-    mine = _turn(lot_id, me)
-    before = sum(_turn(lot_id, one) < mine for one in live)
+    my_rank = _claim_rank(lot_id, me)
+    before = sum(_claim_rank(lot_id, other) < my_rank for other in live)
     return before * CLAIM_STEP_SECONDS
 
 
-def _turn(lot_id: str, member: str) -> tuple[int, str]:
+def _claim_rank(lot_id: str, member: str) -> tuple[int, str]:
     return zlib.crc32(f"{lot_id} {member}".encode()), member
 
 
-def _machine(incarnation: str) -> str:
+def _machine_name(incarnation: str) -> str:
     return incarnation.rpartition(".")[0]
--- a/src/wigeonfront/rollout/pending.py
+++ b/src/wigeonfront/rollout/pending.py
@@ -61,24 +61,24 @@
     """
 
     def __init__(
-        self, spool: SpoolClient, seen: Callable[[], DiskRegistrations], clock: Clock
+        self, spool: SpoolClient, disks: Callable[[], DiskRegistrations], clock: Clock
     ) -> None:
         self._spool = spool
-        self._seen = seen
+        self._disks = disks
         self._clock = clock
         self._lock = threading.Lock()
         self._listing: _Listing | None = None
 
-    def doubt(self, lot_id: str) -> str:
+    def doubt_reason(self, lot_id: str) -> str:
         """Return why a Lot that the store lacks may still be accepted.
 
         Empty where it was not, or is in the store by now: a reader has to look there
         again.
         """
-        seen = self._seen()
-        reason = doubt_of_disks(seen)
-        if not reason and seen.addresses:
-            listing = self._listed(seen.addresses)
+        disks = self._disks()
+        reason = doubt_about_disks(disks)
+        if not reason and disks.addresses:
+            listing = self._listed(disks.addresses)
             pending = lot_id in listing.lots
             reason = "on disks, not in the store yet" if pending else listing.unreached
         if reason:
@@ -105,13 +105,13 @@
         return _Listing(frozenset(lots), "", now)
 
 
-def doubt_of_disks(seen: DiskRegistrations) -> str:
+def doubt_about_disks(disks: DiskRegistrations) -> str:
     """Return why disks that are not registered may have Lots; empty if they have none.
 
     The registration of a process lapses in an outage that lasts longer than its lease.
     """
-    if seen.followed_for is None:
+    if disks.followed_for is None:
         return "store not followed"
-    if seen.absent and seen.followed_for < LONGEST_ABSENCE_SECONDS:
-        return f"disk of {seen.absent[0]} not back"
+    if disks.absent and disks.followed_for < LONGEST_ABSENCE_SECONDS:
+        return f"disk of {disks.absent[0]} not back"
     return ""
--- a/src/wigeonfront/rollout/progress.py
+++ b/src/wigeonfront/rollout/progress.py
@@ -171,7 +171,7 @@
         only which samples go first.
     """
 
-    since: float = 0.0
+    latest: float = 0.0
     likely: float = 0.0
 
 
@@ -237,7 +237,7 @@
         self.possibly_shown = 0
         self.presence_revision = 0
         self.due_at = times.likely + lot.due_seconds
-        self.gives_up_at = times.since + lot.give_up_seconds
+        self.gives_up_at = times.latest + lot.give_up_seconds
         self.lot = lot
         self.head_revision = head_revision
         self.kept = list(results)
@@ -322,18 +322,18 @@
         self.unkept.append(result)
         return True
 
-    def begin_batch(self, most_bytes: int) -> list[SampleResult]:
+    def begin_batch(self, max_bytes: int) -> list[SampleResult]:
         """Return the results to be kept next, at position ``len(kept)``.
 
         A batch whose write is in doubt is returned again unchanged.
 
         Parameters
         ----------
-        most_bytes : int
+        max_bytes : int
             Text that a batch holds at most, unless one result alone has more.
         """
         if not self.in_doubt:
-            count = count_fitting(self.unkept, most_bytes)
+            count = count_fitting(self.unkept, max_bytes)
             self.in_doubt = self.unkept[:count]
             self.unkept = self.unkept[count:]
             self._answer_lost = False
@@ -383,12 +383,12 @@
         return True
 
 
-def count_fitting(results: Sequence[SampleResult], most_bytes: int) -> int:
+def count_fitting(results: Sequence[SampleResult], max_bytes: int) -> int:
     """Return how many of `results` have so much text together, and one at least."""
     count = 0
     for result in results:
-        most_bytes -= len(result.text)
-        if most_bytes < 0 and count:
+        max_bytes -= len(result.text)
+        if max_bytes < 0 and count:
             break
         count += 1
     return count
--- a/src/wigeonfront/rollout/repository.py
+++ b/src/wigeonfront/rollout/repository.py
@@ -46,7 +46,7 @@
 TEXT_BYTES = 250_000
 """Unfinished text written beside a batch of results: some hundred long samples."""
 
-WRITE_TRIES = 3
+WRITE_ATTEMPTS = 3
 """Sends of one write whose answer is lost, before its effect is left in doubt."""
 
 _encode = msgspec.msgpack.encode
@@ -119,12 +119,12 @@
         puts.extend(Put(_part_key(lot.id, n), part) for n, part in enumerate(parts))
         expected = (Expect(head_key(lot.id), 0),)
         doubt = ""
-        for _ in range(WRITE_TRIES):
+        for _ in range(WRITE_ATTEMPTS):
             outcome = self._store.write(expected, tuple(puts))
             if isinstance(outcome, Stored):
                 return Kept(outcome.revision)
             if isinstance(outcome, Mismatch):
-                return self._settle_accept(lot.id, owner, bool(doubt))
+                return self._resolve_accept(lot.id, owner, bool(doubt))
             if isinstance(outcome, Unavailable) and not doubt:
                 return NotKept(outcome.reason)
             doubt = getattr(outcome, "reason", "lease")
@@ -139,7 +139,7 @@
         size = self._part_bytes
         return [data[start : start + size] for start in range(0, len(data), size)]
 
-    def _settle_accept(
+    def _resolve_accept(
         self, lot_id: str, owner: str, sent_before: bool
     ) -> Kept | AlreadyKept | InDoubt:
         """Tell whether it was an earlier send of this call that wrote the Lot."""
@@ -222,15 +222,15 @@
             return NotKept(outcome.reason)
         if not isinstance(outcome, Mismatch):
             return InDoubt(getattr(outcome, "reason", "lease"))
-        return self._settle_append(key, value, head_revision, outcome)
+        return self._resolve_append(key, value, head_revision, outcome)
 
     def _text_puts(
-        self, lot_id: str, texts: Mapping[str, Text], most_bytes: int
+        self, lot_id: str, texts: Mapping[str, Text], max_bytes: int
     ) -> list[Put]:
-        kept = _texts_within(texts, min(most_bytes, self._part_bytes))
+        kept = _texts_that_fit(texts, min(max_bytes, self._part_bytes))
         return [Put(TEXT_PREFIX + lot_id, _encode(kept))] if kept else []
 
-    def _settle_append(
+    def _resolve_append(
         self, key: str, value: bytes, head_revision: int, mismatch: Mismatch
     ) -> Kept | OwnerReplaced | InDoubt:
         """Tell whether an earlier send of the same batch was the one that wrote it."""
@@ -299,15 +299,15 @@
     return InDoubt(getattr(outcome, "reason", "lease"))
 
 
-def _texts_within(texts: Mapping[str, Text], most_bytes: int) -> dict[str, Text]:
+def _texts_that_fit(texts: Mapping[str, Text], max_bytes: int) -> dict[str, Text]:
     """Return the texts that fit, the longest first: they cost the most to repeat."""
     kept: dict[str, Text] = {}
     by_length = sorted(texts.items(), key=lambda pair: -pair[1].last_id)
-    for id, text in by_length:
-        most_bytes -= sum(map(len, text.pieces)) + len(id)
-        if most_bytes < 0:
+    for sample_id, text in by_length:
+        max_bytes -= sum(map(len, text.pieces)) + len(sample_id)
+        if max_bytes < 0:
             break
-        kept[id] = text
+        kept[sample_id] = text
     return kept
 
 
--- a/src/wigeonfront/rollout/result_writer.py
+++ b/src/wigeonfront/rollout/result_writer.py
@@ -19,7 +19,7 @@
 
 logger = logging.getLogger(__name__)
 
-KEEP_WAIT_SECONDS = 0.05
+BATCH_WAIT_SECONDS = 0.05
 """Pause of the keeping thread while results wait for their batch."""
 
 IDLE_WAIT_SECONDS = 0.5
@@ -31,7 +31,7 @@
 BATCH_BYTES = 500_000
 """Text in one row of results: under the store's limit for a value, also as base64."""
 
-KeepOutcome = Kept | OwnerReplaced | NotKept | InDoubt
+WriteOutcome = Kept | OwnerReplaced | NotKept | InDoubt
 
 
 class ResultWriter:
@@ -75,17 +75,19 @@
                 stop.wait(STORE_RETRY_SECONDS)
                 continue
             with self._changed:
-                unkept = any(one.unkept or one.in_doubt for one in self._lots())
-                self._changed.wait(KEEP_WAIT_SECONDS if unkept else IDLE_WAIT_SECONDS)
+                unkept = any(
+                    progress.unkept or progress.in_doubt for progress in self._lots()
+                )
+                self._changed.wait(BATCH_WAIT_SECONDS if unkept else IDLE_WAIT_SECONDS)
 
-    def write_remaining(self, progress: LotProgress) -> KeepOutcome:
+    def write_remaining(self, progress: LotProgress) -> WriteOutcome:
         """Keep all finished results of a Lot that is no longer run here.
 
         A batch that `run` is writing at the same moment is written twice, which is
         harmless: it takes effect once.
         """
         while progress.unkept or progress.in_doubt:
-            outcome = self._keep(progress)
+            outcome = self._write(progress)
             if not isinstance(outcome, Kept):
                 return outcome
         return Kept(progress.head_revision)
@@ -98,23 +100,24 @@
         kept nothing for up to 3 s, which a loss of power then took.
         """
         # The one that failed last goes last, so that it can't hold up the others.
-        due = sorted(self._due(), key=lambda one: one.lot.id == self._failed)
+        due = sorted(self._due_lots(), key=lambda progress: progress.lot.id == self._failed)
         for progress in due:
-            if isinstance(self._keep(progress), NotKept | InDoubt):
+            if isinstance(self._write(progress), NotKept | InDoubt):
                 self._failed = progress.lot.id
                 return False
         return True
 
-    def _due(self) -> list[LotProgress]:
+    def _due_lots(self) -> list[LotProgress]:
         now = self._clock.monotonic()
         with self._changed:
             return [
-                one
-                for one in self._lots()
-                if not one.deferred and (batch_due(one, now) or texts_due(one, now))
+                progress
+                for progress in self._lots()
+                if not progress.deferred
+                and (batch_due(progress, now) or texts_due(progress, now))
             ]
 
-    def _keep(self, progress: LotProgress) -> KeepOutcome:
+    def _write(self, progress: LotProgress) -> WriteOutcome:
         """Keep one batch, with the texts of the runs that go on."""
         lot_id = progress.lot.id
         with self._changed:
--- a/src/wigeonfront/rollout/spooling.py
+++ b/src/wigeonfront/rollout/spooling.py
@@ -23,7 +23,7 @@
 PART_PAUSE_SECONDS = 0.5
 """Time between two writes to the spool while the wanted groups are not whole."""
 
-LOOK_SECONDS = 0.1
+CHECK_PAUSE_SECONDS = 0.1
 """Pause between two looks whether results are to be spooled or forgotten."""
 
 RETRY_SECONDS = 0.3
@@ -46,7 +46,7 @@
     count : int
         Disks that are wanted, each of another failure domain where there are enough.
     """
-    by_name = {one.name: one for one in disks if not one.leaving}
+    by_name = {member.name: member for member in disks if not member.leaving}
     order = [by_name[name] for name in rendezvous.ranked(lot_id, by_name)]
     seen: dict[str, int] = {}
     turns = []
@@ -54,11 +54,11 @@
         turns.append(seen.get(member.failure_domain, 0))
         seen[member.failure_domain] = turns[-1] + 1
     chosen = [
-        one for _, _, one in sorted(zip(turns, range(len(order)), order, strict=True))
+        member for _, _, member in sorted(zip(turns, range(len(order)), order, strict=True))
     ]
     if len(chosen) < count:
         return ()
-    return tuple(SpoolMember(one.address, one.incarnation) for one in chosen[:count])
+    return tuple(SpoolMember(member.address, member.incarnation) for member in chosen[:count])
 
 
 def spool_due(progress: LotProgress, now: float) -> bool:
@@ -195,13 +195,17 @@
 
     def run(self, stop: threading.Event) -> None:
         """Spool what is due (a supervisor's task)."""
-        while not stop.wait(LOOK_SECONDS):
+        while not stop.wait(CHECK_PAUSE_SECONDS):
             now = self._clock.monotonic()
             with self._changed:
                 lots = self._lots()
-                due = [one for one in lots if spool_due(one, now)]
-                over = [one for one in lots if 0 < one.spooled <= len(one.kept)]
-            for progress in over:
+                due = [progress for progress in lots if spool_due(progress, now)]
+                obsolete = [
+                    progress
+                    for progress in lots
+                    if 0 < progress.spooled <= len(progress.kept)
+                ]
+            for progress in obsolete:
                 self._forget(progress)
             taken = [self._write(progress) for progress in due]
             if not all(taken):
--- a/src/wigeonfront/rollout/submissions.py
+++ b/src/wigeonfront/rollout/submissions.py
@@ -36,16 +36,16 @@
 FENCE = 0
 """All writers of a submission write the same; none excludes another."""
 
-MOST_BYTES = 6 * 1024 * 1024
+MAX_SUBMISSION_BYTES = 6 * 1024 * 1024
 """Largest Lot that goes to a disk: one call, and a tenth of the disk's file."""
 
-LOOK_SECONDS = 0.5
+CHECK_PAUSE_SECONDS = 0.5
 """Pause between two looks of a disk's process whether a submission is in the store."""
 
 SETTLE_PAUSE_SECONDS = 0.25
 """Pause between two tries to write heads: each is a call while the store is away."""
 
-OWNER_SECONDS = 2.0
+ENTRY_GRACE_SECONDS = 2.0
 """How long after the store's return the entry that accepted a Lot has to write its
 head, many times what it needs; within four seconds every entry must know the Lot."""
 
@@ -79,7 +79,7 @@
     def put(self, lot: Lot, spools: Sequence[SpoolMember]) -> Stored:
         """Put a Lot on all of its disks."""
         data = msgspec.msgpack.encode(Submission(lot, tuple(spools)))
-        if not spools or len(data) > MOST_BYTES:
+        if not spools or len(data) > MAX_SUBMISSION_BYTES:
             return Stored.NONE
         key = KEY_PREFIX + lot.id
         done = self._spool.append(spools, key, FENCE, 0, 0, (data,))
@@ -119,10 +119,10 @@
 
     def run(self, stop: threading.Event) -> None:
         """Look after the submissions (a supervisor's task)."""
-        while not stop.wait(LOOK_SECONDS):
-            self.look()
+        while not stop.wait(CHECK_PAUSE_SECONDS):
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Look at each submission once."""
         held = self._file.held(KEY_PREFIX)
         self._absent_since = {
@@ -142,10 +142,10 @@
             self._absent_since.pop(key, None)
             return False
         now = self._clock.monotonic()
-        if now - self._absent_since.setdefault(key, now) < OWNER_SECONDS:
+        if now - self._absent_since.setdefault(key, now) < ENTRY_GRACE_SECONDS:
             return False
-        found = msgspec.msgpack.decode(items[0], type=Submission)
-        outcome = self._repository.accept(found.lot, NO_OWNER, found.spools)
+        submission = msgspec.msgpack.decode(items[0], type=Submission)
+        outcome = self._repository.accept(submission.lot, NO_OWNER, submission.spools)
         event(logger, "lot_from_disk", lot=lot_id, outcome=type(outcome).__name__)
         return isinstance(outcome, Kept | AlreadyKept)
 
--- a/src/wigeonfront/rollout/takeover.py
+++ b/src/wigeonfront/rollout/takeover.py
@@ -72,11 +72,11 @@
         self._clock = clock
         self._missing_since: dict[str, float] = {}
         # Monotonic time at which each Lot was first heard of.
-        self._heard_at: dict[str, float] = {}
+        self._first_heard_at: dict[str, float] = {}
         self._changed = threading.Event()
         self.leaving = False
 
-    def look(self) -> None:
+    def wake(self) -> None:
         """Look at once whether a Lot is to be taken over."""
         self._changed.set()
 
@@ -86,18 +86,20 @@
             self._changed.wait(CLAIM_PAUSE_SECONDS)
             self._changed.clear()
             heads = self._known.heads()
-            self._note_heard(heads)
+            self._note_first_heard(heads)
             if not self._mirror.ready or self._mirror.failing or self.leaving:
                 continue
-            self._drop_lost(heads)
+            self._stop_lost(heads)
             for lot_id in self._claimable(heads):
                 self.claim(lot_id, heads[lot_id])
 
-    def _note_heard(self, heads: Collection[str]) -> None:
+    def _note_first_heard(self, heads: Collection[str]) -> None:
         now = self._clock.monotonic()
-        self._heard_at = {id: self._heard_at.get(id, now) for id in heads}
+        self._first_heard_at = {
+            lot_id: self._first_heard_at.get(lot_id, now) for lot_id in heads
+        }
 
-    def _drop_lost(self, heads: dict[str, Head]) -> None:
+    def _stop_lost(self, heads: dict[str, Head]) -> None:
         """Stop the Lots that another process has ended or taken over."""
         for lot_id in self._runner.owned_ids():
             head = heads.get(lot_id)
@@ -137,8 +139,8 @@
             return True
         revision = head.revision
         # What an earlier life of the Lot here has under way must not count any more.
-        again = self._runner.has_run(lot_id, revision)
-        if again or head.owner != self._me().incarnation:
+        ran_before = self._runner.has_run(lot_id, revision)
+        if ran_before or head.owner != self._me().incarnation:
             outcome = self._repository.claim(lot_id, head, self._me().incarnation)
             event(
                 logger,
@@ -172,8 +174,8 @@
             texts=len(texts),
         )
         now = self._clock.monotonic()
-        known_for = now - self._heard_at.get(lot_id, now)
+        known_for = now - self._first_heard_at.get(lot_id, now)
         self._on_start()
-        left = InitialState(results, spooled, head.spools, texts, known_for)
-        self._runner.adopt(lot, head.revision, left)
+        initial = InitialState(results, spooled, head.spools, texts, known_for)
+        self._runner.adopt(lot, head.revision, initial)
         return True
--- a/tests/test_pending.py
+++ b/tests/test_pending.py
@@ -8,7 +8,7 @@
     LISTING_SECONDS,
     DiskRegistrations,
     PendingLots,
-    doubt_of_disks,
+    doubt_about_disks,
 )
 from wigeonfront.rollout.submissions import KEY_PREFIX
 from wigeonfront.spool import Unreached
@@ -48,7 +48,7 @@
     ],
 )
 def test_disks_that_are_not_registered(absent, followed_for, doubt):
-    assert doubt_of_disks(DiskRegistrations(("d1",), absent, followed_for)) == doubt
+    assert doubt_about_disks(DiskRegistrations(("d1",), absent, followed_for)) == doubt
 
 
 @pytest.mark.parametrize(
@@ -65,12 +65,12 @@
     ],
 )
 def test_every_disk_must_say_that_it_has_no_such_lot(held, doubt):
-    assert make_pending(ScriptedSpool(**held)).doubt("l1") == doubt
+    assert make_pending(ScriptedSpool(**held)).doubt_reason("l1") == doubt
 
 
 def test_without_disks_nothing_is_pending():
     spool = ScriptedSpool()
-    assert make_pending(spool, addresses=()).doubt("l1") == ""
+    assert make_pending(spool, addresses=()).doubt_reason("l1") == ""
     assert spool.asked == []
 
 
@@ -78,10 +78,10 @@
     clock = ManualClock()
     spool = ScriptedSpool(d1=["l7"], d2=[])
     pending = make_pending(spool, clock=clock)
-    doubts = [pending.doubt(f"l{number}") for number in range(10)]
+    doubts = [pending.doubt_reason(f"l{number}") for number in range(10)]
     assert [number for number, doubt in enumerate(doubts) if doubt] == [7]
     assert spool.asked == ["d1", "d2"]
     spool.held["d2"].append("l8")
     clock.advance(LISTING_SECONDS + 0.01)
-    assert pending.doubt("l8")
+    assert pending.doubt_reason("l8")
     assert spool.asked == ["d1", "d2"] * 2
--- a/tests/test_result_writer.py
+++ b/tests/test_result_writer.py
@@ -1,4 +1,4 @@
-"""What the keeper writes while the store is away, and when it is back."""
+"""What the writer writes while the store is away, and when it is back."""
 
 import threading
 import time
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def kept():
-    """Return a keeper of three Lots with unsaved texts, and its repository."""
+    """Return a writer of three Lots with unsaved texts, and its repository."""
     clock = ManualClock(100.0)
     lots = []
     for name in ("a", "b", "c"):
@@ -39,7 +39,7 @@
         progress.open[sample.id].snapshot = Text([b"x"], {1})
         lots.append(progress)
     repository = Repository()
-    keeper = ResultWriter(
+    writer = ResultWriter(
         repository,
         lambda: lots,
         lambda *arguments: None,
@@ -47,39 +47,39 @@
         clock,
         Registry().counter("batches", "x", ("outcome",)),
     )
-    return keeper, repository, clock
+    return writer, repository, clock
 
 
 @pytest.mark.parametrize("outcome", [NotKept("down"), InDoubt("silent")])
 def test_one_lot_finds_out_whether_the_store_is_back(kept, outcome):
     """Each unanswered call takes a second, in which a store that is back keeps none."""
-    keeper, repository, _ = kept
+    writer, repository, _ = kept
     repository.away = dict.fromkeys("abc", outcome)
     for _ in range(3):
-        assert not keeper._write_due()
+        assert not writer._write_due()
     assert len(repository.asked) == 3
     repository.away = {}
-    assert keeper._write_due()
+    assert writer._write_due()
     assert set(repository.asked[3:]) == {"a", "b", "c"}
 
 
 def test_a_lot_that_can_not_be_kept_holds_up_no_other(kept):
-    keeper, repository, clock = kept
+    writer, repository, clock = kept
     repository.away = {"a": NotKept("too large")}
-    assert not keeper._write_due()
-    assert not keeper._write_due()
+    assert not writer._write_due()
+    assert not writer._write_due()
     assert repository.asked == ["a", "b", "c", "a"]
     clock.advance(TEXT_SECONDS)
-    for progress in keeper._lots():
+    for progress in writer._lots():
         progress.open[f"{progress.lot.id}1"].snapshot = Text([b"x", b"y"], {1})
     repository.asked.clear()
-    assert not keeper._write_due()
+    assert not writer._write_due()
     assert repository.asked == ["b", "c", "a"]
 
 
 def test_a_batch_that_is_written_twice_at_once_counts_once(kept):
     """The second answer must not be taken for that to the batch behind."""
-    keeper, repository, _ = kept
+    writer, repository, _ = kept
     samples = tuple(Sample(f"s{number}", "/x", (), b"") for number in range(2))
     progress = LotProgress(Lot("lot", "h", "/", samples), 1, [])
     for sample in samples:
@@ -96,12 +96,12 @@
         return Kept(1)
 
     repository.append = late
-    slow = threading.Thread(target=keeper._keep, args=(progress,))
+    slow = threading.Thread(target=writer._write, args=(progress,))
     slow.start()
     while not both.n_waiting:
         time.sleep(0.001)
     repository.append = at_once
-    keeper._keep(progress)
+    writer._write(progress)
     # The next batch is being written as the late answer comes.
     assert progress.begin_batch(BATCH_BYTES) == [SampleResult("s1", True, ANY)]
     answer.set()
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -23,7 +23,7 @@
 )
 from wigeonfront.rollout.submissions import (
     KEY_PREFIX,
-    OWNER_SECONDS,
+    ENTRY_GRACE_SECONDS,
     DeferredHeadWriter,
     Stored,
     SubmissionRecovery,
@@ -232,9 +232,9 @@
     return MemoryRows()
 
 
-def make_settler(rows, disks):
+def make_head_writer(rows, disks):
     told = []
-    settler = DeferredHeadWriter(
+    head_writer = DeferredHeadWriter(
         LotRepository(rows, 1_000_000),
         disks,
         lambda: ME,
@@ -242,7 +242,7 @@
         lambda lot_id, revision: told.append(("settled", revision)),
         lambda lot_id: told.append(("given up",)),
     )
-    return settler, told
+    return head_writer, told
 
 
 @pytest.mark.parametrize(
@@ -260,12 +260,12 @@
     if owner is not None:
         assert repository.accept(LOT, owner, SPOOLS) == Kept(1)
     disks = ScriptedDisks(Stored.ALL)
-    settler, told = make_settler(rows, disks)
+    head_writer, told = make_head_writer(rows, disks)
     rows.faults.down = True
-    assert not settler.settle(LOT, SPOOLS)
+    assert not head_writer.settle(LOT, SPOOLS)
     assert (told, disks.forgotten) == ([], [])
     rows.faults.down = False
-    assert settler.settle(LOT, SPOOLS)
+    assert head_writer.settle(LOT, SPOOLS)
     assert told == expected
     assert disks.forgotten == [LOT.id]
     assert repository.head(LOT.id).owner == (ME if owner is None else owner)
@@ -293,20 +293,20 @@
 def test_a_disk_has_a_lot_kept_that_nobody_else_does(rows, disk):
     clock = ManualClock()
     repository = LotRepository(rows, 1_000_000)
-    keeper = SubmissionRecovery(disk, repository, clock)
+    recovery = SubmissionRecovery(disk, repository, clock)
     SubmissionStore(DirectSpool(disk)).put(LOT, SPOOLS)
     rows.faults.down = True
-    keeper.look()
+    recovery.check()
     clock.advance(60.0)
-    keeper.look()
+    recovery.check()
     rows.faults.down = False
-    keeper.look()
-    clock.advance(OWNER_SECONDS - 0.1)
-    keeper.look()
+    recovery.check()
+    clock.advance(ENTRY_GRACE_SECONDS - 0.1)
+    recovery.check()
     assert not isinstance(repository.head(LOT.id), Head)
     assert disk.held(KEY_PREFIX)
     clock.advance(0.1)
-    keeper.look()
+    recovery.check()
     head = repository.head(LOT.id)
     assert (head.owner, head.state, head.spools) == (NO_OWNER, LotState.OPEN, SPOOLS)
     assert repository.load(LOT.id, head.parts) == LOT
@@ -318,7 +318,7 @@
     repository = LotRepository(rows, 1_000_000)
     SubmissionStore(DirectSpool(disk)).put(LOT, SPOOLS)
     repository.accept(LOT, ME, SPOOLS)
-    SubmissionRecovery(disk, repository, ManualClock()).look()
+    SubmissionRecovery(disk, repository, ManualClock()).check()
     assert not disk.held(KEY_PREFIX)
     assert repository.head(LOT.id).owner == ME
 
