--- a/src/wigeonfront/rollout/progress.py
+++ b/src/wigeonfront/rollout/progress.py
@@ -1,4 +1,7 @@
-"""The state of a Lot that this process runs; not thread-safe, its owner locks it."""
+"""The state of a Lot that this process runs.
+
+The classes are not thread-safe: the runner of the Lots guards them with its lock.
+"""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -9,36 +12,36 @@
 from wigeonfront.spool import SpoolMember
 
 MAX_SENDS = 2
-"""Sends of one reward call at a time: a target may be silent, or ten times slower than
-the others, and the call of the last sample holds up its whole step."""
+"""Concurrent sends of one reward call. A target may be silent or ten times slower than
+the others, and the reward call of the last sample delays the whole training step."""
 
 
 @dataclass(slots=True)
 class RewardCallState:
-    """The reward call of a sample.
+    """The state of a sample's reward call.
 
     Attributes
     ----------
     sends : int
-        Sends in progress: a second one while the first takes long.
+        Sends in flight. There is a second one while the first is slow.
     sent_at : float
         Monotonic time of the last send.
     slow_after : float
-        Seconds after its send from which the present one takes long.
+        Seconds after the last send from which that send counts as slow.
     tries : int
         Sends that have ended without a score.
     failures : int
         Sends that the target itself answered with a failure.
     unframed : int
-        Scores that came with an answer that did not tell its own end.
+        Scores in answers whose end was not framed, so that they may have been cut off.
     routed : bool
-        A route served its host and path when it was last looked for.
+        Whether the last lookup found a route for the call's host and path.
     tried : frozenset of str
-        Targets that have given no score.
+        Targets to which a send has ended without a score.
     not_before : float
-        Monotonic time before which it is not sent.
+        Monotonic time before which the call is not sent.
     due_since : float
-        Monotonic time at which the text was known to be whole.
+        Monotonic time at which the sample's text became whole.
     """
 
     sends: int = 0
@@ -55,34 +58,36 @@
 
 @dataclass(slots=True)
 class SampleState:
-    """A sample that has no result yet.
+    """The state of a sample that has no result yet.
 
-    It waits, is run until its text is whole, and waits for its score if it has a
-    reward call.
+    The sample waits for a run, is run until its text is whole, and then waits for its
+    score if it has a reward call.
 
     Attributes
     ----------
     sample : Sample
     text : Text
-        What its broken runs have generated.
+        Text that all runs of the sample have generated so far.
     failures : int
         Answers that count as failed attempts.
     running : bool
+        Whether a run of the sample is in progress.
     avoid : str
-        Target that broke off its last run, or from which it was moved.
+        Id of the target that broke off the last run or from which the sample was
+        moved; empty for none.
     moves : int
-        Times that it was moved off a slow target.
+        Number of times that the sample was moved off a slow target.
     silent_runs : int
-        Runs that ended as no event came.
+        Runs that ended because no event arrived in time.
     not_before : float
-        Monotonic time before which it is not sent again.
+        Monotonic time before which the sample is not sent again.
     waiting_since : float
-        Monotonic time since which nothing of it was generated.
+        Monotonic time since which no run has generated text for the sample.
     snapshot : Text or None
-        Copy of the text that the run's own thread took between two events.
+        Copy of the text, which the run's own thread takes between two events.
     saved : int
-        Extent of its text that the store has.
-    call : CallState
+        Extent of the text that the store has.
+    call : RewardCallState
     """
 
     sample: Sample
@@ -100,39 +105,51 @@
 
     @property
     def text_version(self) -> int:
-        """Oldest version that has generated its text; 0 for none."""
+        """Oldest weight version that has generated the text; 0 if there is no text."""
         return min(self.text.versions, default=0) if self.text.last_id else 0
 
     @property
     def snapshot_id(self) -> int:
-        """Id of the last event of the snapshot; 0 for none."""
+        """Id of the last event of the snapshot; 0 if there is no snapshot."""
         return self.snapshot.last_id if self.snapshot else 0
 
     @property
     def unsaved(self) -> bool:
-        """Whether the store lacks a part of the snapshot."""
+        """Whether the snapshot has more text than the store."""
         return self.snapshot is not None and self.snapshot.extent > self.saved
 
     @property
     def wants_run(self) -> bool:
-        """Whether it waits to be run."""
+        """Whether the sample waits for a run."""
         return not self.running and not self.text.whole
 
     def wants_call(self, now: float) -> bool:
-        """Tell whether its reward call is to be sent, for the first time or again."""
+        """Return whether the reward call is due for a first or a further send.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic time.
+        """
         call = self.call
         if not self.text.whole or call.not_before > now or call.sends >= MAX_SENDS:
             return False
         return call.sends == 0 or now - call.sent_at >= call.slow_after
 
     def discard_text(self) -> None:
-        """Begin anew: what was generated may not be used."""
+        """Discard the text, which may not be used for the sample's result."""
         self.text = Text()
         self.snapshot = None
         self.saved = 0
 
     def mark_text_whole(self, now: float) -> None:
-        """Note at a monotonic time that the text is whole."""
+        """Record that the text is whole.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic time.
+        """
         self.text.whole = True
         self.snapshot = self.text.copy()
         self.call.due_since = now
@@ -140,13 +157,14 @@
 
 @dataclass(slots=True)
 class GroupState:
-    """A group of samples.
+    """The state of a group of samples.
 
     Attributes
     ----------
     size : int
+        Number of samples.
     finished : int
-        Samples with a result, kept or not.
+        Number of samples that have a result, whether it is in the store or not.
     """
 
     size: int = 0
@@ -154,34 +172,38 @@
 
     @property
     def whole(self) -> bool:
-        """Whether every sample has a result."""
+        """Whether every sample of the group has a result."""
         return self.finished >= self.size
 
 
 @dataclass(frozen=True, slots=True)
 class SubmissionTimes:
-    """When a Lot was submitted, on the monotonic clock of its owner.
+    """Estimates of when a Lot was submitted, on the monotonic clock of its owner.
 
     Attributes
     ----------
-    since : float
-        The latest moment at which it can have been: nothing is given up too early.
+    latest : float
+        Latest possible time of the submission. Samples are given up by this time, so
+        that none is given up too early.
     likely : float
-        The moment by the clocks of two VMs, which may be wrong by seconds: it decides
-        only which samples go first.
+        Submission time as computed from the clocks of two VMs, which may differ by
+        seconds. It affects only the order in which samples are sent.
     """
 
     latest: float = 0.0
     likely: float = 0.0
 
 
-def submission_times(lot: Lot, known_for: float, now: float, unix_now: float) -> SubmissionTimes:
-    """Return when a Lot was submitted, from what can be known of it.
+def submission_times(
+    lot: Lot, known_for: float, now: float, unix_now: float
+) -> SubmissionTimes:
+    """Return the estimates of when a Lot was submitted.
 
     Parameters
     ----------
+    lot : Lot
     known_for : float
-        Seconds for which this process has known of it.
+        Seconds for which this process has known of the Lot.
     now, unix_now : float
         Monotonic and Unix time.
     """
@@ -192,33 +214,35 @@
 
 
 class LotProgress:
-    """An owned Lot.
+    """The progress of a Lot that this process owns.
 
     Parameters
     ----------
     lot : Lot
     head_revision : int
-        Revision of the head row under which this process owns it; 0 while there is
-        none.
+        Revision of the head row under which this process owns the Lot; 0 while the row
+        is not written.
     results : list of SampleResult
-        Results that are kept already.
-    times : LotTimes
-        Of the Lot on this process's clock.
+        Results that the store has already.
+    times : SubmissionTimes, optional
+        When the Lot was submitted, on this process's clock.
     spools : tuple of SpoolMember
-        Disks that take results which the store does not.
+        Disks for results that the store does not accept.
 
     Attributes
     ----------
     writing_since : float or None
-        Monotonic time since which the store has not taken a write.
+        Monotonic time since which the store has accepted no write, although one was
+        begun; ``None`` if none is begun.
     spooled : int
         Position up to which all disks of the spool have the results.
     spooled_at : float
         Monotonic time of the last write to the spool.
     possibly_shown : int
-        Position up to which results may have been shown, here or by an earlier owner.
+        Position up to which results may have been shown, by this process or by an
+        earlier owner.
     presence_revision : int
-        Of the owner's `Presence`, its revision as the Lot came to it.
+        The `since_revision` that the owner's `Presence` had when it became the owner.
     """
 
     def __init__(
@@ -226,7 +250,7 @@
         lot: Lot,
         head_revision: int,
         results: list[SampleResult],
-        times: "LotTimes | None" = None,
+        times: "SubmissionTimes | None" = None,
         spools: tuple[SpoolMember, ...] = (),
     ) -> None:
         times = times or SubmissionTimes()
@@ -258,79 +282,82 @@
 
     @property
     def deferred(self) -> bool:
-        """Whether its head row is still to be written, as the store was away."""
+        """Whether the head row is still to be written, as the store was unavailable."""
         return not self.head_revision
 
     @property
     def results(self) -> list[SampleResult]:
-        """All results, each at its position."""
+        """All results in the order of their positions."""
         return [*self.kept, *self.in_doubt, *self.unkept]
 
     @property
     def durable(self) -> list[SampleResult]:
-        """The results that outlive this process, in the store or on the spool."""
+        """The results that outlive this process, in the store or on the spool.
+
+        Only these are shown to readers.
+        """
         if self.spooled <= len(self.kept):
             return self.kept
         return self.results[: self.spooled]
 
     @property
     def possibly_kept(self) -> int:
-        """Position up to which the store may have results, and others have read them.
+        """Position up to which the store may have results that others have read.
 
-        The store has a batch before its writer hears of that.
+        The store has a batch before its writer receives the answer.
         """
         doubtful = self._writes_in_flight or self._answer_lost
         return len(self.kept) + (len(self.in_doubt) if doubtful else 0)
 
     @property
     def possibly_read(self) -> int:
-        """Position up to which results may have been read, here or elsewhere.
+        """Position up to which results may have been read, in any process.
 
-        An earlier owner may have shown what this one has from a disk.
+        An earlier owner may have shown results that this process recovered from a disk.
         """
         return max(self.possibly_kept, self.possibly_shown)
 
     @property
     def finished(self) -> bool:
-        """Whether every sample has a kept result."""
+        """Whether the store has a result of every sample."""
         return len(self.kept) >= len(self.lot.samples)
 
     @property
     def groups(self) -> dict[str, GroupState]:
-        """State of each group by its name."""
+        """State of each group, by the group's name."""
         return self._groups
 
     @property
     def whole_groups(self) -> int:
-        """Groups of which every sample has a result."""
+        """Number of groups of which every sample has a result."""
         return sum(group.whole for group in self._groups.values())
 
     @property
     def wanted_groups(self) -> int:
-        """Groups that the trainer waits for."""
+        """Number of groups that the trainer waits for."""
         return min(self.lot.target_groups or len(self._groups), len(self._groups))
 
     def missing_in_group(self, sample: Sample) -> int:
-        """Return how many samples of the sample's group have no result."""
+        """Return how many samples of the given sample's group have no result."""
         group = self._groups[sample.group or sample.id]
         return group.size - group.finished
 
     def finish(self, result: SampleResult) -> bool:
-        """Take a sample's result; return ``False`` if it had one already."""
+        """Add a sample's result; return ``False`` if the sample had one already."""
         if not self._close(result.id):
             return False
         self.unkept.append(result)
         return True
 
     def begin_batch(self, max_bytes: int) -> list[SampleResult]:
-        """Return the results to be kept next, at position ``len(kept)``.
+        """Return the results to be written next, at position ``len(kept)``.
 
         A batch whose write is in doubt is returned again unchanged.
 
         Parameters
         ----------
         max_bytes : int
-            Text that a batch holds at most, unless one result alone has more.
+            Limit of the text in a batch. A single result may exceed it.
         """
         if not self.in_doubt:
             count = count_fitting(self.unkept, max_bytes)
@@ -340,32 +367,33 @@
         return self.in_doubt
 
     def write_sent(self) -> None:
-        """Note that the present batch is on its way to the store."""
+        """Record that a write of the current batch is in flight."""
         self._writes_in_flight += 1
 
     def write_ended(self, position: int, maybe_done: bool) -> None:
-        """Note that the write of the batch at `position` has ended.
+        """Record that the write of the batch at `position` has ended.
 
         Parameters
         ----------
+        position : int
         maybe_done : bool
-            Its answer was lost, so that it may have taken effect.
+            Whether the answer was lost, so that the write may have taken effect.
         """
         self._writes_in_flight -= 1
         if maybe_done and position == len(self.kept):
             self._answer_lost = True
 
     def snapshots(self) -> dict[str, Text]:
-        """Return the snapshots of the samples without a result, by their ids."""
+        """Return the snapshots of the samples without a result, by the sample's id."""
         return {id: state.snapshot for id, state in self.open.items() if state.snapshot}
 
     def batch_kept(
         self, position: int, texts: Mapping[str, Text] = MappingProxyType({})
     ) -> None:
-        """Note that the batch at `position` was written, and `texts` with it.
+        """Record that the batch at `position` was written, together with `texts`.
 
-        A batch may be written twice at once; the second answer then comes as the next
-        batch is in doubt.
+        A batch may be written twice concurrently. The second answer then arrives while
+        the next batch is in doubt, and its position shows that it is not for that one.
         """
         if position == len(self.kept):
             self.kept.extend(self.in_doubt)
@@ -384,7 +412,14 @@
 
 
 def count_fitting(results: Sequence[SampleResult], max_bytes: int) -> int:
-    """Return how many of `results` have so much text together, and one at least."""
+    """Return how many of the first `results` fit in a limit; at least 1 if any.
+
+    Parameters
+    ----------
+    results : sequence of SampleResult
+    max_bytes : int
+        Limit of their text.
+    """
     count = 0
     for result in results:
         max_bytes -= len(result.text)
