--- a/src/wigeonfront/rollout/__init__.py
+++ b/src/wigeonfront/rollout/__init__.py
@@ -1,12 +1,16 @@
-"""Lots that are kept in the platform's store and run by the entry that owns them.
+"""Lots, which are stored in the platform's store and run by the entry that owns them.
 
-`lots` answers the calls of trainers; `repository` keeps Lots, `known_lots` and
-`owner_calls` read those of other processes, `ownership` and `takeover` decide who owns
-which. `runner` runs all that are owned here: `progress` is the state of one, `order`,
-`overload`, `placing` and `picking` decide what runs next and where, `sample_run` runs
-one sample, `after_run` decides what becomes of it, and `scoring` has its text scored.
+`lots` answers the calls of trainers. `repository` stores Lots, `known_lots` and
+`owner_calls` read the Lots of other processes, and `ownership` and `takeover` decide
+which entry owns a Lot. `runner` runs all Lots that the process owns: `progress` is the
+state of one of them, `order`, `overload`, `placing` and `picking` decide which sample
+runs next and where, `sample_run` runs one sample, `after_run` decides what follows the
+run, and `scoring` gets the score of the text.
+
+While the store is unavailable, `acceptance` and `submissions` accept Lots on disks, and
+`spooling` writes results to disks.
 
 Tasks for the caller's supervisor: `LotRunner.send_loop`, `ResultWriter.run`,
-`Scoring.run`, `LoadFollower.run` and `Lots.takeover_loop`. A thread of its own runs each
-sample and each reward call.
+`Scoring.run`, `LoadFollower.run` and `Lots.takeover_loop`. Each run of a sample and each
+reward call has a thread of its own.
 """
--- a/src/wigeonfront/rollout/acceptance.py
+++ b/src/wigeonfront/rollout/acceptance.py
@@ -1,7 +1,8 @@
-"""Accepts a Lot: in the store, or on disks while the store is away.
+"""Accepts a Lot: in the store, or on disks while the store is unavailable.
 
-The load that this answers: an outage of some seconds, in which a trainer's next step
-begins. Its samples run meanwhile, and its results can be shown as the store returns.
+The disks serve outages of some seconds in which a trainer's next step begins. The
+samples run during the outage, and their results can be shown once the store is
+available again.
 """
 
 import threading
@@ -20,20 +21,20 @@
 from wigeonfront.spool import SpoolMember
 
 DEFER_AFTER_SECONDS = 0.4
-"""Time for which the store is waited for before a Lot goes to disks: many times what a
-write takes, and as long as a trainer may wait for its 202."""
+"""Time to wait for the store before a Lot is written to disks: many times the duration
+of a write, and as long as a trainer may wait for its 202."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deferred:
-    """The disks have the Lot; its head row is to be written once the store answers."""
+    """The disks have the Lot; its head row is written once the store answers."""
 
 
 Acceptance = Kept | AlreadyKept | Deferred | NotKept | InDoubt
 
 
 class LotAcceptance:
-    """Accepts Lots.
+    """Accepts Lots in the store or on disks.
 
     Parameters
     ----------
@@ -46,14 +47,16 @@
         self._submissions = submissions
 
     def accept(self, lot: Lot, owner: str, spools: Sequence[SpoolMember]) -> Acceptance:
-        """Have a Lot kept where it outlives this process.
+        """Write a Lot to where it outlives this process.
 
         Parameters
         ----------
+        lot : Lot
         owner : str
-            Incarnation that is to own it.
+            Incarnation that should own the Lot.
         spools : sequence of SpoolMember
-            Its disks; without any only the store can keep it.
+            Disks of the Lot. If there are none, the Lot can only be accepted in the
+            store.
         """
         if not spools:
             return self._repository.accept(lot, owner)
@@ -71,7 +74,7 @@
 
 
 class _Write:
-    """A write to the store, in a thread of its own."""
+    """A write of a Lot to the store in a separate thread."""
 
     def __init__(
         self,
@@ -102,5 +105,5 @@
     def wait(
         self, seconds: float | None = None
     ) -> Kept | AlreadyKept | NotKept | InDoubt | None:
-        """Return how the write ended; ``None`` if it has not within `seconds`."""
+        """Return the outcome of the write; ``None`` if it takes more than `seconds`."""
         return self._outcome if self._done.wait(seconds) else None
--- a/src/wigeonfront/rollout/head.py
+++ b/src/wigeonfront/rollout/head.py
@@ -1,4 +1,4 @@
-"""The head row of a Lot: who owns it, and whether it was ended."""
+"""The head row of a Lot, which names the owner and says whether the Lot was ended."""
 
 import enum
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 
 class LotState(enum.Enum):
-    """Whether a Lot still runs."""
+    """Whether a Lot is open or was ended."""
 
     OPEN = "open"
     ENDED = "ended"
@@ -25,18 +25,18 @@
     Attributes
     ----------
     owner : str
-        Incarnation of the entry that runs it.
+        Incarnation of the entry that runs the Lot; empty while none does.
     state : LotState
     total : int
         Number of samples.
     parts : int
-        Rows that hold the samples.
+        Number of rows that hold the samples.
     submitted_at : float
-        Unix time in seconds.
+        Unix time of the submission in seconds.
     revision : int
-        Of the row; not stored in it.
+        Revision of the row. It is not part of the row's value.
     spools : tuple of SpoolMember
-        Disks that may hold results which the store did not take.
+        Disks that may hold results which the store has not accepted.
     """
 
     owner: str
@@ -54,7 +54,7 @@
 
 
 def decode_head(row: Row) -> Head | None:
-    """Return the head that a row holds, or ``None`` where it is malformed."""
+    """Return the head that a row holds, or ``None`` if the row is malformed."""
     try:
         wire = msgspec.json.decode(row.value, type=_HeadRow)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -71,6 +71,8 @@
 
 
 class _HeadRow(msgspec.Struct):
+    """The value of a head row, encoded as JSON."""
+
     owner: str
     state: LotState
     total: int
@@ -91,5 +93,5 @@
 
 
 def head_key(lot_id: str) -> str:
-    """Return the key of a Lot's head row."""
+    """Return the key of the head row of a Lot."""
     return HEAD_PREFIX + lot_id
--- a/src/wigeonfront/rollout/initial_state.py
+++ b/src/wigeonfront/rollout/initial_state.py
@@ -1,4 +1,4 @@
-"""What a process begins with when it comes to own a Lot."""
+"""The state of a Lot with which a process begins as its new owner."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class InitialState:
-    """What is there of a Lot; nothing but the disks of a new one.
+    """The state of a Lot as its new owner finds it; a new Lot has only its disks.
 
     Attributes
     ----------
     results : sequence of SampleResult
-        That the store has.
+        Results in the store.
     spooled : sequence of SampleResult
-        That a disk had for the positions behind.
+        Results from a disk, for the positions after those in the store.
     spools : tuple of SpoolMember
-        Disks for results that the store does not take.
+        Disks for results that the store does not accept.
     texts : mapping of str to Text
-        What earlier owners have of unfinished samples.
+        Unfinished texts that earlier owners have stored, by the sample's id.
     known_for : float
         Seconds for which this process has known of the Lot.
     """
@@ -41,7 +41,7 @@
 def create_progress(
     lot: Lot,
     head_revision: int,
-    left: InitialState,
+    initial: InitialState,
     recent: RecentTexts,
     now: float,
     unix_now: float,
@@ -50,20 +50,24 @@
 
     Parameters
     ----------
+    lot : Lot
     head_revision : int
-        Revision of the head row under which it does.
+        Revision of the head row under which this process owns the Lot.
+    initial : InitialState
     recent : RecentTexts
-        What this process itself has generated in other Lots.
+        Texts of samples from Lots that this process has stopped.
     now, unix_now : float
         Monotonic and Unix time.
     """
-    times = submission_times(lot, left.known_for, now, unix_now)
-    progress = LotProgress(lot, head_revision, list(left.results), times, left.spools)
-    for result in left.spooled:
+    times = submission_times(lot, initial.known_for, now, unix_now)
+    progress = LotProgress(
+        lot, head_revision, list(initial.results), times, initial.spools
+    )
+    for result in initial.spooled:
         progress.finish(result)
     progress.possibly_shown = len(progress.results)
-    for id, state in progress.open.items():
-        text = recent.take(lot.account, id) or left.texts.get(id)
+    for sample_id, state in progress.open.items():
+        text = recent.take(lot.account, sample_id) or initial.texts.get(sample_id)
         state.waiting_since = now
         if text is not None and text.fits(lot.min_version, lot.single_version):
             state.text = text
--- a/src/wigeonfront/rollout/known_lots.py
+++ b/src/wigeonfront/rollout/known_lots.py
@@ -1,4 +1,4 @@
-"""The Lots that other processes run or ran, and the store's rows of all."""
+"""What an entry knows of Lots that it does not run."""
 
 import logging
 import threading
@@ -30,11 +30,16 @@
     total : int
         Number of samples.
     results : list of SampleResult
+        The first results of the Lot, in the order of their positions.
     lot : Lot or None
+        The Lot with its samples, once it has been read.
     final : bool
-        No more results will come.
+        Whether the Lot has ended, so that no results follow.
     owner : str
-        Address of the entry that has kept it for this one.
+        Address of the entry that accepted the Lot when this one passed it on; empty if
+        there is none.
+    lock : threading.Lock
+        Guards the other attributes.
     """
 
     total: int
@@ -46,11 +51,11 @@
 
     @property
     def complete(self) -> bool:
-        """Whether no more results will come."""
+        """Whether no more results will follow."""
         return self.final or len(self.results) >= self.total
 
     def add(self, position: int, more: list[SampleResult], final: bool) -> None:
-        """Take results that begin at `position`, unless others came first."""
+        """Append results that begin at `position`, unless some were appended since."""
         with self.lock:
             if position == len(self.results):
                 self.results = [*self.results, *more]
@@ -58,18 +63,18 @@
 
 
 class KnownLots:
-    """What this process knows of Lots that it does not run.
+    """The Lots that this process does not run.
 
     Parameters
     ----------
     repository : LotRepository
     mirror : Mirror
-        Of the rows that tell owners and members.
+        Mirror of the rows that name the owners and the members.
     owners : OwnerClient
     me : callable
         Returns this process as a member.
     members : callable
-        Returns the members that are registered.
+        Returns the registered members.
     pending : PendingLots
     clock : Clock
     """
@@ -95,7 +100,7 @@
         self._known: dict[str, KnownLot] = {}
 
     def heads(self) -> dict[str, Head]:
-        """Return the heads of the Lots that the mirror knows."""
+        """Return the heads of the Lots in the mirror, by the Lot's id."""
         rows = self._mirror.state().rows
         heads = {
             key.removeprefix(HEAD_PREFIX): decode_head(row)
@@ -105,7 +110,7 @@
         return {lot_id: head for lot_id, head in heads.items() if head is not None}
 
     def recent_owners(self) -> list[str]:
-        """Return the addresses of other owners, that of the newest Lot first."""
+        """Return the addresses of the other owners, the newest Lot's owner first."""
         addresses = {
             member.incarnation: member.address
             for member in self._members()
@@ -116,18 +121,19 @@
         return [addresses[owner] for owner in owners if owner in addresses]
 
     def get(self, lot_id: str) -> KnownLot | None:
-        """Return what is remembered of a Lot; nothing is asked."""
+        """Return what is remembered of a Lot, without a call."""
         with self._lock:
             return self._known.get(lot_id)
 
     def remember(self, progress: LotProgress, final: bool) -> None:
-        """Keep what is known of a Lot that is no longer run here.
+        """Remember a Lot that this process no longer runs.
 
         Parameters
         ----------
+        progress : LotProgress
         final : bool
-            This process owned it to its end, so that only a batch whose write is in
-            doubt can be missing.
+            Whether this process owned the Lot until its end, so that only a batch whose
+            write is in doubt can be missing.
         """
         lot = progress.lot
         known = self.add(lot.id, KnownLot(len(lot.samples)))
@@ -138,7 +144,7 @@
                 known.final = known.final or (final and not progress.in_doubt)
 
     def lookup(self, lot_id: str) -> KnownLot | None:
-        """Return what is known of a Lot, from memory or the mirror."""
+        """Return what is known of a Lot, from memory or from the mirror."""
         with self._lock:
             known = self._known.get(lot_id)
         if known is not None:
@@ -147,7 +153,7 @@
         return self.add(lot_id, KnownLot(head.total)) if head else None
 
     def add(self, lot_id: str, known: KnownLot) -> KnownLot:
-        """Remember a Lot; return what was known of it before, if anything."""
+        """Remember a Lot unless it is known; return what is known of it."""
         with self._lock:
             return self._known.setdefault(lot_id, known)
 
@@ -161,7 +167,10 @@
         return self.add(lot_id, KnownLot(head.total))
 
     def head(self, lot_id: str) -> Head | LotUnknown | LotUnavailable:
-        """Read a Lot's head row; `LotUnknown` only where no such Lot is accepted."""
+        """Read the head row of a Lot.
+
+        The result is `LotUnknown` only if no such Lot was accepted.
+        """
         head = self._repository.head(lot_id)
         if isinstance(head, NoLot):
             doubt = self._pending.doubt_reason(lot_id)
@@ -177,39 +186,49 @@
     def read(
         self, lot_id: str, after: int, wait: float
     ) -> LotPage | LotUnknown | LotUnavailable:
-        """Return the kept results of a Lot that another process runs or ran."""
+        """Return results of a Lot that another process runs or ran.
+
+        Parameters
+        ----------
+        lot_id : str
+        after : int
+            Position of the first result.
+        wait : float
+            Longest time, in seconds, for which the owner waits for a result.
+        """
         known = self._find(lot_id)
         if not isinstance(known, KnownLot):
             return known
-        have = len(known.results)
-        if have > after or known.complete:
+        known_count = len(known.results)
+        if known_count > after or known.complete:
             return LotPage(known.total, known.results[after:])
         head = self._mirrored_head(lot_id)
         owner = self._read_address(head) if head is not None else known.owner
         if owner:
-            # What is remembered ends where a batch ends; the store is read on there.
-            start = have if after <= have else after
+            # The remembered results must end where a batch ends, since the store is
+            # read from that position on.
+            start = known_count if after <= known_count else after
             found = self._owners.read(owner, lot_id, start, wait)
             if found is not None:
-                if start == have and found.whole:
-                    known.add(have, found.results, final=False)
+                if start == known_count and found.whole:
+                    known.add(known_count, found.results, final=False)
                 return LotPage(found.total, found.results[after - start :])
-        more = self._repository.results(lot_id, have)
+        more = self._repository.results(lot_id, known_count)
         event(
             logger,
             "results_read",
             lot=lot_id,
-            position=have,
+            position=known_count,
             outcome=type(more).__name__ if isinstance(more, NotKept) else "Read",
             count=0 if isinstance(more, NotKept) else len(more),
         )
         if isinstance(more, NotKept):
             return LotUnavailable(more.reason)
-        # Nothing is added to a Lot once its end is written.
+        # No results are added to a Lot after its end is written.
         ended = head is not None and head.state is LotState.ENDED
-        known.add(have, more, ended)
+        known.add(known_count, more, ended)
         if after >= len(known.results) and not known.complete and not ended:
-            # Its owner may have shown more than the store has.
+            # The owner may have shown results that the store lacks.
             return LotUnavailable("owner not reached")
         return LotPage(known.total, known.results[after:])
 
@@ -222,13 +241,13 @@
         return self._read_address(head)
 
     def is_surely_owned(self, run: LotProgress, presence: Presence) -> bool:
-        """Tell whether a Lot that is run here can have no other owner.
+        """Return whether a Lot that this process runs can have no other owner.
 
         Parameters
         ----------
         run : LotProgress
         presence : Presence
-            Of this process.
+            Presence of this process.
         """
         head = self._mirrored_head(run.lot.id)
         revision = self._mirror.revision
@@ -239,10 +258,11 @@
         return decode_head(row) if row is not None else None
 
     def _read_address(self, head: Head) -> str:
-        """Return the address at which another process's Lot is read; empty for none.
+        """Return the address of the owner from which a Lot is read; empty for none.
 
-        A Lot that has ended is all in the store, which is as near as an owner in
-        another failure domain and needs no bytes of its link.
+        A Lot that has ended is wholly in the store. It is not read from an owner in
+        another failure domain, as the store is as near and this spares the link between
+        the failure domains.
         """
         me = self._me()
         for member in self._members():
--- a/src/wigeonfront/rollout/lot.py
+++ b/src/wigeonfront/rollout/lot.py
@@ -1,4 +1,4 @@
-"""Lots, their samples and results, as data."""
+"""The data types of Lots, their samples and their results."""
 
 from dataclasses import dataclass, field
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RewardCall:
-    """The request that scores a sample once its text is whole; it may be repeated.
+    """The idempotent request that scores a sample once its text is whole.
 
     Attributes
     ----------
     id : str
-        Of the request; a score belongs to the call with this id alone.
+        Id of the request. A score is valid only for the call with this id.
     host, path : str
-        They select the route; `path` is the request target.
+        Host and request target, which select the route.
     body : bytes
     """
 
@@ -34,16 +34,18 @@
     path : str
         Request target at the engine.
     headers : tuple of pairs
-        Headers that the engine gets.
+        Headers that are sent to the engine.
     body : bytes
     group : str
-        Samples of one group share their prompt and count only together.
+        Name of the sample's group. Samples of one group share their prompt and count
+        only together.
     model : str
-        Model that generates it.
+        Model that generates the sample's text.
     expected_tokens : int
-        The trainer's estimate of the tokens generated; 0 if it gave none.
+        The trainer's estimate of the number of generated tokens; 0 if it gave none.
     reward_call : RewardCall or None
-        Gives the score without which the sample is not completed.
+        Request for the score, without which the sample is not completed; ``None`` if
+        the sample needs no score.
     """
 
     id: str
@@ -58,32 +60,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Lot:
-    """A batch of samples that a trainer submitted for one step.
+    """A batch of samples that a trainer submitted for one training step.
 
     Attributes
     ----------
     id : str
     host, prefix : str
-        They name the route that the Lot came by.
+        Host and path prefix of the route by which the Lot was submitted.
+    samples : tuple of Sample
     model : str
     min_version : int
-        Oldest weights that may generate its samples; 0 for any.
+        Oldest weight version that may generate the samples; 0 for any.
     target_groups : int
-        Groups that the trainer waits for; 0 for all.
+        Number of groups that the trainer waits for; 0 for all.
     submitted_at : float
-        Unix time of the first submission by the clock of the VM that took it, in
-        seconds; clocks differ, and jump.
+        Unix time of the first submission in seconds, by the clock of the VM that
+        accepted it. The clocks of other VMs differ, and clocks may jump.
     due_seconds : float
         Time from the submission until the results are due.
     give_up_seconds : float
         Time from the submission after which samples are given up.
     max_attempts : int
-        Failed attempts after which a sample is given up.
+        Number of failed attempts after which a sample is given up.
     single_version : bool
-        A sample must come from one version.
-    samples : tuple of Sample
+        Whether each sample must come from a single weight version.
     account : str
-        Client account that submitted it; empty for none.
+        Client account that submitted the Lot; empty for none.
     """
 
     id: str
@@ -103,19 +105,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SampleResult:
-    """What became of a sample, at a fixed position of its Lot.
+    """The result of a sample. It has a fixed position in its Lot.
 
     Attributes
     ----------
     id : str
+        Id of the sample.
     completed : bool
-        ``False`` where the sample was given up.
+        ``False`` if the sample was given up.
     text : bytes
         Data of all events, separated by line feeds.
     versions : tuple of int
-        Versions that generated the events.
+        Weight versions that generated the events.
     score : str
-        What the sample's reward call gave; empty where it has none.
+        Score from the sample's reward call; empty if the sample has none.
     """
 
     id: str
--- a/src/wigeonfront/rollout/lot_answers.py
+++ b/src/wigeonfront/rollout/lot_answers.py
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The Lot is kept.
+    """The Lot is accepted.
 
     Attributes
     ----------
     again : bool
-        It was kept before, and this process had not heard of it.
+        Whether the store had the Lot already, though this process did not know of it.
     """
 
     again: bool = False
@@ -20,21 +20,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LotRefused:
-    """Nothing of the Lot was kept, and nothing of it will run."""
+    """The Lot was not stored, and none of its samples will run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class LotUncertain:
-    """It is unknown whether the Lot is kept."""
+    """It is unknown whether the Lot was stored."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class LotPage:
-    """Results from a position on."""
+    """Results of a Lot from a requested position on.
+
+    Attributes
+    ----------
+    total : int
+        Number of samples.
+    results : list of SampleResult
+    """
 
     total: int
     results: list[SampleResult]
@@ -42,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LotUnknown:
-    """There is no such Lot, or no such sample in it."""
+    """There is no such Lot, or it has no such sample."""
 
 
 @dataclass(frozen=True, slots=True)
 class LotUnavailable:
-    """The process can't be sure of the Lot now."""
+    """The process can't answer for the Lot at present, because of `reason`."""
 
     reason: str
--- a/src/wigeonfront/rollout/lots.py
+++ b/src/wigeonfront/rollout/lots.py
@@ -1,4 +1,4 @@
-"""Answers the calls about Lots, at whichever entry they arrive."""
+"""Answers the calls about Lots, at any entry that receives them."""
 
 import logging
 import threading
@@ -45,13 +45,15 @@
 logger = logging.getLogger(__name__)
 
 READ_PAUSE_SECONDS = 0.3
-"""Pause between two readings of the store for a caller that waits at an entry that
-does not own the Lot."""
+"""Pause between two reads of the store while a caller waits for results at an entry
+that does not own the Lot."""
 
 HAND_OVER_PAUSE_SECONDS = 0.2
-"""Pause before a store that took no part in a hand-over is asked again."""
+"""Pause before a hand-over is tried again after the store did not answer."""
 
 END_ATTEMPTS = 4
+"""Attempts to end a Lot in its owner's place; each reads the head row anew, as another
+process may have changed it."""
 
 
 class Lots:
@@ -62,13 +64,13 @@
     repository : LotRepository
     runner : LotRunner
     mirror : Mirror
-        Of the rows that tell owners and members.
+        Mirror of the rows that name the owners and the members.
     me : callable
         Returns this process as a member.
     presence : callable
         Returns the `Presence` of this process.
     members : callable
-        Returns the members that are registered.
+        Returns the registered members.
     spools : LotSpools
     submissions : SubmissionStore
     pending : PendingLots
@@ -131,32 +133,42 @@
     # --- calls ---------------------------------------------------------------
 
     def submit(self, lot: Lot) -> Accepted | LotRefused | LotUncertain:
-        """Have a Lot kept and run; the same Lot again is accepted again."""
+        """Accept a Lot, to be run by its preferred owner.
+
+        A repeated submission of the same Lot is accepted again.
+        """
         if self.knows(lot.id):
             return Accepted()
         me = self._me
         owner = preferred_owner(lot, self._members(), me.failure_domain)
         if owner is not None and owner.name != me.name:
             address = owner.address
-            if not self._owners.is_avoided(address) and self._owners.submit(address, lot):
-                kept = KnownLot(len(lot.samples), [], lot, owner=address)
-                self._known.add(lot.id, kept)
+            if not self._owners.avoids(address) and self._owners.submit(address, lot):
+                known = KnownLot(len(lot.samples), [], lot, owner=address)
+                self._known.add(lot.id, known)
                 return Accepted()
-        return self._keep(lot)
+        return self._accept(lot)
 
     def submit_locally(self, lot: Lot) -> bool:
-        """Keep a Lot that another entry has received; return whether it is kept."""
+        """Accept a Lot that another entry has received, to run it in this process.
+
+        Returns
+        -------
+        bool
+            Whether the Lot is accepted.
+        """
         if self._takeover.leaving:
             return False
         if self._runner.owned(lot.id):
             return True
-        # The other machine's clock may differ.
-        kept = self._keep(replace(lot, submitted_at=self._clock.time()))
-        return kept == Accepted()
-
-    def _keep(self, lot: Lot) -> Accepted | LotRefused | LotUncertain:
-        """Keep a Lot and begin to run it."""
-        # A process that leaves could not finish the Lot: another one takes it over.
+        # The clock of the VM that received the Lot may differ from this VM's clock.
+        outcome = self._accept(replace(lot, submitted_at=self._clock.time()))
+        return outcome == Accepted()
+
+    def _accept(self, lot: Lot) -> Accepted | LotRefused | LotUncertain:
+        """Store a Lot and begin to run it."""
+        # A leaving process could not finish the Lot. Without an owner it is taken over
+        # by another process.
         owner = NO_OWNER if self._takeover.leaving else self._me.incarnation
         spools = self._spools.choose(lot.id)
         outcome = self._acceptance.accept(lot, owner, spools)
@@ -185,7 +197,15 @@
     def read(
         self, lot_id: str, after: int, wait: float
     ) -> LotPage | LotUnknown | LotUnavailable:
-        """Return the results from position `after` on; wait for one if asked to."""
+        """Return the results from position `after` on.
+
+        Parameters
+        ----------
+        lot_id : str
+        after : int
+        wait : float
+            Longest time, in seconds, to wait for a result.
+        """
         deadline = self._clock.monotonic() + wait
         while True:
             left = max(0.0, deadline - self._clock.monotonic())
@@ -202,18 +222,24 @@
             self._clock.sleep(min(READ_PAUSE_SECONDS, left))
 
     def knows(self, lot_id: str) -> bool:
-        """Tell whether this process has heard of a Lot; nothing is asked."""
+        """Return whether this process knows of a Lot, without a call to the store."""
         return bool(self._runner.owned(lot_id) or self._known.lookup(lot_id))
 
     def ended(self, lot_id: str) -> bool:
-        """Tell whether a Lot has ended, as the store says; else nobody is sure."""
+        """Return whether the store says that a Lot has ended.
+
+        ``False`` also where the head row can't be read.
+        """
         head = self._repository.head(lot_id)
         return isinstance(head, Head) and head.state is LotState.ENDED
 
     def read_locally(self, lot_id: str, after: int, wait: float) -> OwnedResults | None:
-        """Return results of a Lot that is run here, or that has ended here.
+        """Return results of a Lot without a call to the store or to another entry.
 
-        ``None`` where this process does not know of all that are kept.
+        Returns
+        -------
+        OwnedResults or None
+            ``None`` if this process neither runs the Lot nor knows all of its results.
         """
         owned = self._read_owned(lot_id, after, wait)
         if isinstance(owned, ResultsInDoubt):
@@ -228,7 +254,10 @@
     def _read_owned(
         self, lot_id: str, after: int, wait: float
     ) -> OwnedResults | ResultsInDoubt | None:
-        """Return results of a Lot that is run here; none are shown only if sure."""
+        """Return results of a Lot that this process runs; ``None`` if it runs no such.
+
+        A page without results is returned only if no other process can own the Lot.
+        """
         found = self._runner.read(lot_id, after, wait)
         if not isinstance(found, OwnedResults) or found.results or after >= found.total:
             return found
@@ -248,10 +277,11 @@
         return LotUnknown()
 
     def end(self, lot_id: str) -> Accepted | LotUnknown | LotUnavailable:
-        """End a Lot; what is listed stays listed.
+        """End a Lot; results that were shown remain available.
 
-        Its owner ends it, which may have results that the store lacks; one that is not
-        reached is replaced first.
+        The owner ends the Lot, as it may have results that the store lacks. If the
+        owner can't be reached, this process ends the Lot in its place; a Lot that has
+        a spool it takes over first.
         """
         if self._is_deferred(lot_id):
             return LotUnavailable("not in the store yet")
@@ -271,14 +301,14 @@
         return LotUnavailable("not ended")
 
     def end_locally(self, lot_id: str) -> bool:
-        """End a Lot that this process runs; return whether its end is kept."""
-        progress = self._runner.owned(lot_id)
-        if progress is None or progress.deferred or not self._store_shown_results(progress):
+        """End a Lot that this process runs; return whether the store has its end."""
+        running = self._runner.owned(lot_id)
+        if running is None or running.deferred or not self._store_shown(running):
             return False
         progress = self._runner.stop_lot(lot_id, "ended by the trainer")
         if progress is None:
             return False
-        kept = self._store_shown_results(progress)
+        kept = self._store_shown(progress)
         if kept:
             head = self._make_head(progress, self._me.incarnation, LotState.OPEN)
             kept = isinstance(self._repository.end(lot_id, head), Kept)
@@ -290,14 +320,20 @@
         progress = self._runner.owned(lot_id)
         return progress is not None and progress.deferred
 
-    def _store_shown_results(self, progress: LotProgress) -> bool:
-        """Have the store keep what only the spool has; return whether it has."""
+    def _store_shown(self, progress: LotProgress) -> bool:
+        """Write the results that may have been shown to the store.
+
+        Returns
+        -------
+        bool
+            Whether the store has them.
+        """
         if progress.possibly_shown <= len(progress.kept):
             return True
         return isinstance(self._runner.result_writer.write_remaining(progress), Kept)
 
     def _end_for(self, lot_id: str, head: Head) -> bool:
-        """End a Lot in its owner's place; return whether its end is kept."""
+        """End a Lot in its owner's place; return whether the store has its end."""
         if self._runner.owned(lot_id) is not None:
             return self.end_locally(lot_id)
         if head.spools:
@@ -309,7 +345,10 @@
         return isinstance(outcome, Kept)
 
     def leave(self) -> None:
-        """Take on no more Lots; new ones go to other entries at once."""
+        """Stop taking Lots over and running newly submitted ones.
+
+        Lots that are still submitted here are left to other entries.
+        """
         self._takeover.leaving = True
 
     def hand_over(self, until: float) -> None:
@@ -318,7 +357,7 @@
         Parameters
         ----------
         until : float
-            Monotonic time up to which a store that takes no part is asked again.
+            Monotonic time until which failed writes to the store are tried again.
         """
         stopped = [
             self._runner.stop_lot(lot_id, "handed over")
@@ -332,7 +371,13 @@
             self._clock.sleep(HAND_OVER_PAUSE_SECONDS)
 
     def _hand_over(self, progress: LotProgress) -> bool:
-        """Write what is left of a stopped Lot; return whether the store took part."""
+        """Write the rest of a stopped Lot and its head row without an owner.
+
+        Returns
+        -------
+        bool
+            ``False`` if the write has to be tried again.
+        """
         if progress.deferred:
             return self._hand_over_deferred(progress)
         texts = self._runner.texts_of(progress)
@@ -354,14 +399,22 @@
         return isinstance(outcome, Kept | OwnerReplaced)
 
     def _hand_over_deferred(self, progress: LotProgress) -> bool:
-        """Have the store keep a Lot that only disks have; else their processes will."""
+        """Write a Lot that only disks have to the store, without an owner.
+
+        If this fails, the processes that have the disks write it later.
+
+        Returns
+        -------
+        bool
+            ``False`` if the write has to be tried again.
+        """
         lot = progress.lot
         outcome = self._repository.accept(lot, NO_OWNER, progress.spools)
         event(logger, "lot_handed_over", lot=lot.id, outcome=type(outcome).__name__)
         return isinstance(outcome, Kept | AlreadyKept)
 
     def _make_head(self, progress: LotProgress, owner: str, state: LotState) -> Head:
-        """Return the head row of a Lot that this process owned."""
+        """Return a new head row for a Lot that this process owned."""
         lot = progress.lot
         parts = self._repository.part_count(lot)
         return Head(
@@ -374,26 +427,26 @@
             progress.spools,
         )
 
-    # --- taking over ---------------------------------------------------------
+    # --- ownership -----------------------------------------------------------
 
     def heads(self) -> dict[str, Head]:
-        """Return the heads of the Lots that the mirror knows."""
+        """Return the heads of the Lots in the mirror, by the Lot's id."""
         return self._known.heads()
 
     def recent_owners(self) -> list[str]:
-        """Return the addresses of other owners, that of the newest Lot first."""
+        """Return the addresses of the other owners, the newest Lot's owner first."""
         return self._known.recent_owners()
 
     def owners_changed(self) -> None:
-        """Look at once whether a Lot is to be taken over."""
+        """Check at once whether Lots have to be taken over."""
         self._takeover.wake()
 
     def deferred_head_loop(self, stop: threading.Event) -> None:
-        """Write the heads of Lots that disks have (a supervisor's task)."""
+        """Write the head rows of deferred Lots (a supervisor's task)."""
         self._head_writer.run(stop)
 
     def _stop_foreign_lot(self, lot_id: str) -> None:
-        """Leave a Lot to its owner that was accepted here, too."""
+        """Stop a Lot that was accepted here and has its owner elsewhere."""
         progress = self._runner.stop_lot(lot_id, "accepted elsewhere")
         if progress is not None:
             self._known.remember(progress, final=False)
--- a/src/wigeonfront/rollout/owner_calls.py
+++ b/src/wigeonfront/rollout/owner_calls.py
@@ -1,7 +1,7 @@
-"""Calls between entries about a Lot: its submission to its owner, results, its end.
+"""Calls between entries about a Lot: its submission, its results and its end.
 
 An entry that does not own a Lot asks the owner, which answers from memory and can wait
-for a result, in place of asking the store again and again.
+for a result, instead of polling the store.
 """
 
 import logging
@@ -26,30 +26,41 @@
 
 CONNECT_SECONDS = 0.25
 ANSWER_SECONDS = 0.5
-"""How much longer than it asked to a reader waits before it asks the store."""
+"""Time for which a reader waits beyond the wait that it asked for. Then it reads the
+store."""
 
 MAX_WAIT_SECONDS = 2.0
+"""Longest time for which the owner waits for a result."""
 
 ANSWER_BYTES = 1_000_000
-"""Text in one answer: what a reader is given at once."""
+"""Text in one answer to a reader."""
 
 SUBMISSION_PATH = "/lot-submissions"
 SUBMISSION_SECONDS = 0.5
-"""Longest wait for another entry to keep a Lot, ten times what it takes."""
+"""Timeout of the submission of a Lot to another entry: ten times what it takes."""
 
 AVOID_SECONDS = 2.0
-"""How long an entry that has kept no Lot when asked is not asked again: about the term
-of the lease by which it counts as alive."""
+"""Time for which an entry that has not accepted a Lot is not asked again: about the
+duration of the lease by which it counts as alive."""
 
 MAX_SUBMISSION_BYTES = 64 * 1024 * 1024
 
 END_PATH = "/lot-ends"
 END_SECONDS = 0.5
-"""Longest wait for the owner to end a Lot, ten times what it takes."""
+"""Timeout of the call that ends a Lot: ten times what it takes."""
 
 
 class ResultCall(msgspec.Struct, frozen=True):
-    """A reading of results from position `after` on, which may wait for one."""
+    """A request for the results from position `after` on.
+
+    Attributes
+    ----------
+    lot : str
+        Id of the Lot.
+    after : int
+    wait : float
+        Longest time, in seconds, to wait for a result.
+    """
 
     lot: str
     after: int
@@ -58,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnedResults:
-    """What the owner has kept from the asked position on.
+    """The results that the owner shows, from the requested position on.
 
     Attributes
     ----------
@@ -66,8 +77,8 @@
         Number of samples.
     results : list of SampleResult
     whole : bool
-        They end where a batch of the store ends: nothing was left out for its size,
-        and nothing is on the spool alone.
+        Whether the results end where a batch in the store ends: none was left out for
+        its size, and none is on the spool alone.
     """
 
     total: int
@@ -77,22 +88,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ResultsInDoubt:
-    """There may be results at the asked position that this process can't show.
+    """There may be results at the requested position that this process can't show.
 
-    Others may have read them, so that a page without results would be wrong.
+    Other readers may have read them, so that a page without results would be wrong.
     """
 
     reason: str
 
 
 class ResultServer:
-    """Answers other entries about Lots that are or were owned here.
+    """Answers other entries with the results of Lots that this process owns or owned.
 
     Parameters
     ----------
     read : callable
-        Returns a Lot's results from a position on, waiting for one if asked to, or
-        ``None`` where they are not all known here.
+        Returns the results of a Lot from a position on, and waits for a result for the
+        given seconds. Returns ``None`` if this process does not know them all.
     """
 
     def __init__(self, read: Callable[[str, int, float], OwnedResults | None]) -> None:
@@ -101,13 +112,13 @@
     def answer(self, call: RawCall) -> None:
         """Answer one call over HTTP."""
         try:
-            asked = msgspec.json.decode(call.body(65_536), type=ResultCall)
+            request = msgspec.json.decode(call.body(65_536), type=ResultCall)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             event(logger, "bad_owner_call", reason=str(error)[:200])
             call.reply(400)
             return
-        wait = min(asked.wait, MAX_WAIT_SECONDS)
-        found = self._read(asked.lot, asked.after, wait)
+        wait = min(request.wait, MAX_WAIT_SECONDS)
+        found = self._read(request.lot, request.after, wait)
         if found is None:
             call.reply(NOT_OWNED)
             return
@@ -118,18 +129,18 @@
 
 
 class SubmissionAnswer(msgspec.Struct, frozen=True):
-    """Whether the asked entry has kept the Lot; if not, another one may try."""
+    """Whether the called entry has accepted the Lot; if not, another one may do so."""
 
     kept: bool
 
 
 class SubmissionServer:
-    """Takes Lots that other entries have received.
+    """Accepts Lots that other entries have received.
 
     Parameters
     ----------
     submit : callable
-        Keeps a Lot and owns it; returns whether it is kept.
+        Accepts a Lot and owns it; returns whether the Lot is accepted.
     """
 
     def __init__(self, submit: Callable[[Lot], bool]) -> None:
@@ -148,12 +159,12 @@
 
 
 class EndServer:
-    """Ends Lots that are owned here.
+    """Ends Lots that this process owns.
 
     Parameters
     ----------
     end : callable
-        Ends a Lot; returns whether its end is kept.
+        Ends a Lot; returns whether the store has its end.
     """
 
     def __init__(self, end: Callable[[str], bool]) -> None:
@@ -171,7 +182,7 @@
 
 
 class OwnerClient:
-    """Asks owners.
+    """Sends calls to the entries that own Lots or should own them.
 
     Parameters
     ----------
@@ -183,18 +194,19 @@
         self._pools = Pools(CONNECT_SECONDS)
         self._avoided: dict[str, float] = {}
 
-    def is_avoided(self, address: str) -> bool:
-        """Tell whether an entry has lately kept no Lot when asked."""
+    def avoids(self, address: str) -> bool:
+        """Return whether an entry has recently not accepted a Lot when asked."""
         return self._clock.monotonic() < self._avoided.get(address, 0.0)
 
     def submit(self, address: str, lot: Lot) -> bool:
-        """Ask another entry to keep a Lot and to own it.
+        """Ask another entry to accept a Lot and to own it.
 
         Returns
         -------
         bool
-            ``False`` where it has not, or may have: the Lot is then kept here, which
-            changes nothing if it is there already.
+            ``False`` if the entry has not accepted the Lot, or if this is unknown. The
+            caller then accepts the Lot itself, which changes nothing if the store has
+            the Lot already.
         """
         body = msgspec.msgpack.encode(lot)
         answer = self._pools.post(address, SUBMISSION_PATH, body, SUBMISSION_SECONDS)
@@ -211,7 +223,7 @@
         return not reason
 
     def end(self, address: str, lot_id: str) -> bool:
-        """Ask the owner to end a Lot; return whether its end is kept."""
+        """Ask the owner to end a Lot; return whether the store has its end."""
         body = msgspec.msgpack.encode(lot_id)
         answer = self._pools.post(address, END_PATH, body, END_SECONDS)
         return isinstance(answer, Answer) and answer.status == OK
@@ -219,7 +231,7 @@
     def read(
         self, address: str, lot_id: str, after: int, wait: float
     ) -> OwnedResults | None:
-        """Return the owner's kept results; ``None`` if it can't tell."""
+        """Return the results that the owner shows; ``None`` if it gives no answer."""
         body = msgspec.json.encode(ResultCall(lot_id, after, wait))
         seconds = wait + ANSWER_SECONDS
         answer = self._pools.post(address, RESULTS_PATH, body, seconds)
--- a/src/wigeonfront/rollout/ownership.py
+++ b/src/wigeonfront/rollout/ownership.py
@@ -1,4 +1,7 @@
-"""Which entry should own a Lot, when it comes and when its owner is gone."""
+"""Decides which entry should own a new Lot, or a Lot whose owner is gone.
+
+The functions are pure.
+"""
 
 import math
 import zlib
@@ -11,22 +14,24 @@
 from wigeonfront.rollout.progress import LotProgress
 
 NO_OWNER = ""
-"""Owner of a Lot that its last owner handed over."""
+"""Owner that the head row names while no entry owns the Lot."""
 
 OWNER_GRACE_SECONDS = 1.5
-"""How long an owner's row may be missing before its Lots are taken over: an owner that
-lives registers again within three tries."""
+"""Time for which an owner's row may be missing before its Lots are taken over. A live
+owner registers again within three attempts."""
 
 CLOCK_MARGIN_SECONDS = 0.2
-"""Part of that time by which two VMs may measure it apart."""
+"""Difference between the clocks of two VMs over `OWNER_GRACE_SECONDS`; an owner ceases
+to be sure of its Lots earlier by this time."""
 
 CLAIM_STEP_SECONDS = 0.7
-"""Time after which the next member in a Lot's order claims it: the one before may be
-gone, and still be registered."""
+"""Time after which the next member in a Lot's order claims the Lot. The member before
+it may be gone and still be registered."""
 
 MIN_CORES_SHARE = 0.5
-"""Processor time of a member that owns new Lots, as a share of the most in its failure
-domain: entries differ by a factor of five, and a Lot keeps its owner busy."""
+"""Cores that a member needs in order to own new Lots, as a share of the most cores of a
+member in its failure domain. Entries differ by a factor of five, and running a Lot
+takes much processor time."""
 
 
 def claimable_lots(
@@ -40,27 +45,31 @@
 ) -> list[str]:
     """Return the open Lots that this process should claim, oldest first.
 
-    A Lot whose owner has started again goes to the new incarnation, which need not have
-    heard of any other member. A Lot whose owner is gone goes to one live member, chosen
-    by a hash, so that they do not all try at once; the next one in the hash's order
-    tries a little later. A member whose row is missing may only have lost its lease: it
-    counts as gone after `grace`.
+    A Lot whose owner has restarted goes to the owner's new incarnation, which need not
+    know of any other member. A Lot whose owner is gone goes to one live member, chosen
+    by a hash, so that not all members claim it at once; the next member in the hash's
+    order claims it a little later. A member whose row is missing may have lost only its
+    lease: it counts as gone after `grace`.
 
     Parameters
     ----------
     heads : mapping of str to Head
-        By the Lot's id.
+        Head rows by the Lot's id.
+    members : collection of Member
+        Registered members.
     missing_since : mapping of str to float
-        Monotonic time since when an owner's incarnation has had no row.
+        Monotonic time since which an owner has had no row, by its incarnation.
     me : str
-        This process's incarnation.
+        Incarnation of this process.
     owned : collection of str
-        Lots that it runs already.
+        Ids of the Lots that this process runs already.
+    now : float
+        Monotonic time.
+    grace : float
+        Seconds for which an owner's row may be missing.
     """
     live = {member.incarnation for member in members}
-    staying = sorted(
-        member.incarnation for member in members if not member.leaving
-    )
+    staying = sorted(member.incarnation for member in members if not member.leaving)
     successors = {_machine_name(incarnation): incarnation for incarnation in staying}
     replaced = {_machine_name(incarnation) for incarnation in live}
     claims = []
@@ -94,25 +103,27 @@
     mirror_revision: int,
     now: float,
 ) -> bool:
-    """Tell whether no other process can have taken over a Lot that is run here.
+    """Return whether no other process can have taken over a Lot that this process runs.
 
-    An owner that is cut off, or wakes after a pause, may have been replaced.
+    An owner that is cut off from the store, or that resumes after a pause, may have
+    been replaced.
 
     Parameters
     ----------
     run : LotProgress
     presence : Presence
-        Of this process.
+        Presence of this process.
     head : Head or None
-        In this process's copy of the store's rows.
+        The Lot's head row in this process's mirror.
     mirror_revision : int
-        Revision of the store that the copy is as of.
+        Revision of the store that the mirror shows.
     now : float
-        Time on the clock that counts suspensions.
+        Time in seconds on the clock that counts suspensions.
     """
     if head is not None and head.revision > run.head_revision:
         return False
-    # The copy shows who took over while this process was not registered.
+    # If the registration lapsed since this process became the owner, only a mirror that
+    # is newer than the new registration shows whether another process took over.
     unbroken = run.presence_revision == presence.since_revision
     if not unbroken and mirror_revision < presence.since_revision:
         return False
@@ -122,17 +133,19 @@
 def preferred_owner(
     lot: Lot, members: Collection[Member], failure_domain: str
 ) -> Member | None:
-    """Return the member that should own a new Lot; ``None`` where there is none.
+    """Return the member that should own a new Lot; ``None`` if none is eligible.
 
-    All Lots of a trainer go to one entry of the failure domain in which they arrive:
-    its connections to the engines are kept from one Lot to the next, and it knows of
-    all the runs that it has at them.
+    All Lots of a trainer go to one entry of the failure domain in which they arrive.
+    This entry reuses its connections to the engines from one Lot to the next, and it
+    knows of all the runs that it has at the engines.
 
     Parameters
     ----------
+    lot : Lot
     members : collection of Member
+        Registered members.
     failure_domain : str
-        In which the Lot has arrived.
+        Failure domain of the entry that received the Lot.
     """
     in_domain = [
         member
@@ -140,13 +153,26 @@
         if member.failure_domain == failure_domain and not member.leaving
     ]
     max_cores = max((member.cores for member in in_domain), default=0.0)
-    eligible = {member.name: member for member in in_domain if member.cores >= MIN_CORES_SHARE * max_cores}
+    eligible = {
+        member.name: member
+        for member in in_domain
+        if member.cores >= MIN_CORES_SHARE * max_cores
+    }
     name = rendezvous.owner(f"{lot.host}{lot.prefix}{lot.model}", eligible)
     return eligible[name] if name else None
 
 
 def claim_delay(lot_id: str, me: str, live: Collection[str]) -> float:
-    """Return how long a member leaves a Lot without an owner to others, in seconds."""
+    """Return the seconds after which a member claims a Lot that has no live owner.
+
+    Parameters
+    ----------
+    lot_id : str
+    me : str
+        Incarnation of the member; one that is not in `live` never claims.
+    live : collection of str
+        Incarnations of the members that may claim the Lot.
+    """
     if me not in live:
         return math.inf
     my_rank = _claim_rank(lot_id, me)
--- a/src/wigeonfront/rollout/pending.py
+++ b/src/wigeonfront/rollout/pending.py
@@ -1,8 +1,8 @@
-"""Tells whether a Lot may be accepted though the store has no head row of it.
+"""Decides whether a Lot may have been accepted although the store has no row of it.
 
-While the store is away a Lot is accepted on disks, and the store lacks it until its
-entry or the process with the disk has written its head row. All disks of a Lot have
-it before it is accepted, and drop it only once the store has it.
+While the store is unavailable, a Lot is accepted on disks. The store lacks it until the
+accepting entry or a process that has one of the disks has written the head row. All
+disks of a Lot have it before it is accepted, and delete it only once the store has it.
 """
 
 import logging
@@ -19,22 +19,24 @@
 logger = logging.getLogger(__name__)
 
 LISTING_SECONDS = 0.25
-"""How long one listing of the disks serves all callers. A Lot that was accepted since
-is not listed; other entries need to know it only a second after its acceptance."""
+"""Time for which one listing of the disks serves all callers. It lacks Lots that were
+accepted since, but other entries need to know a Lot only one second after it was
+accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiskRegistrations:
-    """The processes with a disk, as an entry's copy of the store's rows shows them.
+    """The processes that have a disk, as an entry's mirror of the store shows them.
 
     Attributes
     ----------
     addresses : tuple of str
-        Of those that are registered.
+        Addresses of the registered processes.
     absent : tuple of str
-        Names of those that were registered once and are not now.
+        Names of the processes that were registered before and are not any more.
     followed_for : float or None
-        Seconds for which the copy has followed the store; ``None`` while it does not.
+        Seconds for which the mirror has followed the store without a break; ``None`` if
+        it does not follow it.
     """
 
     addresses: tuple[str, ...]
@@ -44,19 +46,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Listing:
+    """The ids of the Lots on all disks, and the reason if a disk was not reached."""
+
     lots: frozenset[str]
-    unreached: str
+    failure: str
     listed_at: float
 
 
 class PendingLots:
-    """The Lots that disks have and the store may lack.
+    """The Lots that disks have and that the store may lack.
 
     Parameters
     ----------
     spool : SpoolClient
-    seen : callable
-        Returns the `DiskRegistrations` of this entry.
+    disks : callable
+        Returns the `DiskRegistrations` that this entry knows.
     clock : Clock
     """
 
@@ -70,32 +74,32 @@
         self._listing: _Listing | None = None
 
     def doubt_reason(self, lot_id: str) -> str:
-        """Return why a Lot that the store lacks may still be accepted.
+        """Return why a Lot that the store lacked may have been accepted.
 
-        Empty where it was not, or is in the store by now: a reader has to look there
-        again.
+        The reason is empty if the Lot was not accepted or is in the store by now, so
+        the caller has to read the store again.
         """
         disks = self._disks()
         reason = doubt_about_disks(disks)
         if not reason and disks.addresses:
-            listing = self._listed(disks.addresses)
+            listing = self._current_listing(disks.addresses)
             pending = lot_id in listing.lots
-            reason = "on disks, not in the store yet" if pending else listing.unreached
+            reason = "on disks, not in the store yet" if pending else listing.failure
         if reason:
             event(logger, "lot_in_doubt", lot=lot_id, reason=reason)
         return reason
 
-    def _listed(self, addresses: Sequence[str]) -> _Listing:
-        """Return the listing; one that is made does for all that wait for it."""
+    def _current_listing(self, addresses: Sequence[str]) -> _Listing:
+        """Return a recent listing; concurrent callers wait for one and share it."""
         with self._lock:
             listing = self._listing
             now = self._clock.monotonic()
             if listing is None or now - listing.listed_at > LISTING_SECONDS:
-                listing = self._list(addresses, now)
+                listing = self._list_disks(addresses, now)
                 self._listing = listing
             return listing
 
-    def _list(self, addresses: Sequence[str], now: float) -> _Listing:
+    def _list_disks(self, addresses: Sequence[str], now: float) -> _Listing:
         lots: set[str] = set()
         for address in addresses:
             keys = self._spool.keys(address, KEY_PREFIX)
@@ -106,9 +110,11 @@
 
 
 def doubt_about_disks(disks: DiskRegistrations) -> str:
-    """Return why disks that are not registered may have Lots; empty if they have none.
+    """Return why unregistered disks may have Lots; empty if they can't have any.
 
-    The registration of a process lapses in an outage that lasts longer than its lease.
+    The registration of a process lapses in an outage that outlasts its lease. Once the
+    mirror has followed the store for long enough, all live processes have registered
+    again.
     """
     if disks.followed_for is None:
         return "store not followed"
--- a/src/wigeonfront/rollout/progress.py
+++ b/src/wigeonfront/rollout/progress.py
@@ -82,7 +82,8 @@
     not_before : float
         Monotonic time before which the sample is not sent again.
     waiting_since : float
-        Monotonic time since which no run has generated text for the sample.
+        Monotonic time at which the last run that generated text ended, or at which this
+        process became the owner.
     snapshot : Text or None
         Copy of the text, which the run's own thread takes between two events.
     saved : int
--- a/src/wigeonfront/rollout/repository.py
+++ b/src/wigeonfront/rollout/repository.py
@@ -1,10 +1,11 @@
-"""Keeps Lots in the platform's store, where they outlive every process.
-
-A Lot has one *head* row that names its owner and whether it was ended, rows with its
-samples, and one row for each batch of results. Every change expects the head row at
-the revision that the writer knows, so an owner that was replaced, or that wakes after
-a pause, writes nothing more. A batch of results is written under the position of its
-first result and expects that row's absence, so positions never change.
+"""Stores Lots as rows of the platform's store, where they outlive every process.
+
+A Lot has one *head* row, which names its owner and says whether the Lot was ended, rows
+with its samples, and one row for each batch of results. Every write is a
+compare-and-swap: it expects the head row at the revision that the writer knows, so that
+an owner that was replaced, or that resumes after a pause, can't write any more. The key
+of a batch of results holds the position of the first result, and the write expects that
+the key is absent, so that the positions of results never change.
 """
 
 from collections.abc import Mapping, Sequence
@@ -40,62 +41,63 @@
 TEXT_PREFIX = "lot-texts/"
 
 PART_SHARE = 0.6
-"""Share of the largest value that one row of samples takes; values travel as base64
+"""Size of one row of samples as a share of the largest value. Values are sent as base64
 text in a body whose limit may be the same."""
 
 TEXT_BYTES = 250_000
-"""Unfinished text written beside a batch of results: some hundred long samples."""
+"""Limit of the unfinished texts that are written with a batch of results: enough for
+some hundred long samples."""
 
 WRITE_ATTEMPTS = 3
-"""Sends of one write whose answer is lost, before its effect is left in doubt."""
+"""Sends of one write whose answers are lost, before its effect is left in doubt."""
 
 _encode = msgspec.msgpack.encode
 
 
 @dataclass(frozen=True, slots=True)
 class Kept:
-    """The write holds; the head row is at `revision`."""
+    """The write took effect; the head row is at `revision`."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class AlreadyKept:
-    """The Lot was accepted before."""
+    """The store has the Lot from an earlier submission."""
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerReplaced:
-    """The head row has changed: another owner, or the Lot was ended."""
+    """The head row has changed: the Lot has another owner or was ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotKept:
-    """Nothing was written."""
+    """The write took no effect, or the read failed, because of `reason`."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class InDoubt:
-    """It is unknown whether the write took effect."""
+    """It is unknown whether the write took effect, because of `reason`."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class NoLot:
-    """There is no such Lot."""
+    """The store has no such Lot."""
 
 
 class LotRepository:
-    """Lots as rows of a `RowStore`.
+    """Reads and writes Lots as rows of a `RowStore`.
 
     Parameters
     ----------
     store : RowStore
     value_bytes : int
-        Largest value of a row.
+        Largest value of a row, in bytes.
     """
 
     def __init__(self, store: RowStore, value_bytes: int) -> None:
@@ -105,7 +107,16 @@
     def accept(
         self, lot: Lot, owner: str, spools: tuple[SpoolMember, ...] = ()
     ) -> Kept | AlreadyKept | NotKept | InDoubt:
-        """Keep a new Lot, owned by `owner`, whose results may go to `spools`."""
+        """Write a new Lot.
+
+        Parameters
+        ----------
+        lot : Lot
+        owner : str
+            Incarnation of the owner, or `NO_OWNER`.
+        spools : tuple of SpoolMember
+            Disks for results that the store does not accept.
+        """
         parts = self._parts(lot)
         head = Head(
             owner,
@@ -131,7 +142,7 @@
         return InDoubt(doubt)
 
     def part_count(self, lot: Lot) -> int:
-        """Return the number of rows that hold a Lot's samples."""
+        """Return the number of rows that hold the samples of a Lot."""
         return len(self._parts(lot))
 
     def _parts(self, lot: Lot) -> list[bytes]:
@@ -142,7 +153,10 @@
     def _resolve_accept(
         self, lot_id: str, owner: str, sent_before: bool
     ) -> Kept | AlreadyKept | InDoubt:
-        """Tell whether it was an earlier send of this call that wrote the Lot."""
+        """Return the outcome of a write that found a head row of the Lot.
+
+        An earlier send of the same write may have written that row.
+        """
         if not sent_before:
             return AlreadyKept()
         head = self.head(lot_id)
@@ -151,7 +165,7 @@
         return Kept(head.revision) if head.owner == owner else AlreadyKept()
 
     def head(self, lot_id: str) -> Head | NoLot | NotKept:
-        """Read a Lot's head row."""
+        """Read the head row of a Lot."""
         row = self._store.get(head_key(lot_id))
         if isinstance(row, Unavailable):
             return NotKept(row.reason)
@@ -172,10 +186,10 @@
         return msgspec.msgpack.decode(bytes(data), type=Lot)
 
     def results(self, lot_id: str, after: int) -> list[SampleResult] | NotKept:
-        """Read the results from the batch that begins at `after` on.
+        """Read the results from position `after` on, at which a batch must begin.
 
         Batches are contiguous, so a reader that has read all batches up to `after` asks
-        for the one that begins there.
+        for the batch that begins there.
         """
         prefix = f"{RESULT_PREFIX}{lot_id}/"
         previous = f"{prefix}{after - 1:08d}" if after else ""
@@ -199,13 +213,19 @@
     ) -> Kept | OwnerReplaced | NotKept | InDoubt:
         """Write `batch` as the results from `position` on, with unfinished `texts`.
 
-        The write may be repeated with the same batch: it takes effect once.
+        The write is idempotent: if it is repeated with the same batch, it takes effect
+        once.
 
         Parameters
         ----------
+        lot_id : str
+        head_revision : int
+            Revision of the head row under which the caller owns the Lot.
+        position : int
+        batch : sequence of SampleResult
         texts : mapping of str to Text
-            By the sample's id; they replace those written before. What is too much
-            for one row is left out.
+            Unfinished texts by the sample's id. They replace the texts that were
+            written before. Texts that do not fit in one row are left out.
         """
         key = _result_key(lot_id, position)
         value = encode_results(batch)
@@ -233,7 +253,10 @@
     def _resolve_append(
         self, key: str, value: bytes, head_revision: int, mismatch: Mismatch
     ) -> Kept | OwnerReplaced | InDoubt:
-        """Tell whether an earlier send of the same batch was the one that wrote it."""
+        """Return the outcome of a write that found other rows than it expected.
+
+        An earlier send of the same batch may have written the row.
+        """
         if not mismatch.rows.get(key):
             return OwnerReplaced()
         row = self._store.get(key)
@@ -250,8 +273,13 @@
 
         Parameters
         ----------
+        lot_id : str
+        head_revision : int
+            Revision of the head row under which the caller owns the Lot.
+        head : Head
         texts : mapping of str to Text
-            By the sample's id; what does not fit one row is left out.
+            Unfinished texts by the sample's id. Texts that do not fit in one row are
+            left out.
         """
         key = head_key(lot_id)
         puts = self._text_puts(lot_id, texts, self._part_bytes)
@@ -260,7 +288,10 @@
         return _head_outcome(outcome)
 
     def texts(self, lot_id: str) -> dict[str, Text]:
-        """Read the unfinished texts that the last owner left; none if unreadable."""
+        """Read the unfinished texts that the last owner wrote, by the sample's id.
+
+        The result is empty if there are none or if they can't be read.
+        """
         row = self._store.get(TEXT_PREFIX + lot_id)
         if not isinstance(row, Row):
             return {}
@@ -269,11 +300,11 @@
     def claim(
         self, lot_id: str, head: Head, owner: str
     ) -> Kept | OwnerReplaced | NotKept | InDoubt:
-        """Make `owner` the owner of a Lot whose head row is still as `head`."""
+        """Make `owner` the owner of a Lot if its head row is unchanged since `head`."""
         return self._replace_head(lot_id, head.revision, replace(head, owner=owner))
 
     def end(self, lot_id: str, head: Head) -> Kept | OwnerReplaced | NotKept | InDoubt:
-        """End a Lot whose head row is still as `head`."""
+        """End a Lot if its head row is unchanged since `head`."""
         ended = replace(head, state=LotState.ENDED)
         return self._replace_head(lot_id, head.revision, ended)
 
@@ -300,7 +331,10 @@
 
 
 def _texts_that_fit(texts: Mapping[str, Text], max_bytes: int) -> dict[str, Text]:
-    """Return the texts that fit, the longest first: they cost the most to repeat."""
+    """Return the texts that fit, preferring the longest.
+
+    The longest texts take the most time to generate again.
+    """
     kept: dict[str, Text] = {}
     by_length = sorted(texts.items(), key=lambda pair: -pair[1].last_id)
     for sample_id, text in by_length:
@@ -320,7 +354,7 @@
 
 
 def encode_results(batch: Sequence[SampleResult]) -> bytes:
-    """Return the value of a row of results."""
+    """Return the value of a row that holds a batch of results."""
     return _encode(list(batch))
 
 
--- a/src/wigeonfront/rollout/result_writer.py
+++ b/src/wigeonfront/rollout/result_writer.py
@@ -1,4 +1,4 @@
-"""Keeps what owned Lots have generated: finished results, and texts of long runs."""
+"""Writes what owned Lots have generated to the store: results and unfinished texts."""
 
 import logging
 import threading
@@ -20,16 +20,17 @@
 logger = logging.getLogger(__name__)
 
 BATCH_WAIT_SECONDS = 0.05
-"""Pause of the keeping thread while results wait for their batch."""
+"""Longest sleep of the writing thread while results wait for their batch."""
 
 IDLE_WAIT_SECONDS = 0.5
-"""Longest sleep of the keeping thread; a finished sample wakes it."""
+"""Longest sleep of the writing thread otherwise; a finished sample wakes it."""
 
 STORE_RETRY_SECONDS = 0.3
-"""Pause after the store did not take a batch; one Lot asks, whatever the number."""
+"""Pause after the store has not accepted a batch. Only one Lot's batch is tried per
+pause, however many Lots there are."""
 
 BATCH_BYTES = 500_000
-"""Text in one row of results: under the store's limit for a value, also as base64."""
+"""Text in one row of results: below the store's limit of a value, also as base64."""
 
 WriteOutcome = Kept | OwnerReplaced | NotKept | InDoubt
 
@@ -43,9 +44,11 @@
     lots : callable
         Returns the owned Lots; called with the lock of `changed` held.
     stop_lot : callable
-        Gives up a Lot that has another owner, with the reason.
+        Called with the id of a Lot that has another owner and the reason for stopping
+        it.
     changed : threading.Condition
-        Guards the progress of Lots, and is notified when a result is kept or waits.
+        Guards the progress of Lots. It is notified when a result is added and when one
+        is written.
     clock : Clock
     batches : wigeonfront.observability.metrics.Counter
         Counts writes by outcome.
@@ -69,7 +72,7 @@
         self._failed = ""
 
     def run(self, stop: threading.Event) -> None:
-        """Keep what is due (a supervisor's task)."""
+        """Write results and texts when they are due (a supervisor's task)."""
         while not stop.is_set():
             if not self._write_due():
                 stop.wait(STORE_RETRY_SECONDS)
@@ -81,10 +84,10 @@
                 self._changed.wait(BATCH_WAIT_SECONDS if unkept else IDLE_WAIT_SECONDS)
 
     def write_remaining(self, progress: LotProgress) -> WriteOutcome:
-        """Keep all finished results of a Lot that is no longer run here.
+        """Write all results of a Lot that this process no longer runs.
 
-        A batch that `run` is writing at the same moment is written twice, which is
-        harmless: it takes effect once.
+        A batch that `run` writes at the same time is written twice. This is harmless,
+        as the write is idempotent.
         """
         while progress.unkept or progress.in_doubt:
             outcome = self._write(progress)
@@ -93,14 +96,17 @@
         return Kept(progress.head_revision)
 
     def _write_due(self) -> bool:
-        """Keep what is due; return ``False`` once the store takes no part.
+        """Write what is due; return ``False`` after the first failed write.
 
-        One Lot finds out whether the store is back: each call that is not answered
-        takes a second, and with three Lots one after the other a store that was back
-        kept nothing for up to 3 s, which a loss of power then took.
+        A single Lot's write tests whether the store is available again, since each
+        unanswered call takes a second. When three Lots were tried one after the other,
+        a store that was available again received nothing for up to 3 s, and a loss of
+        power then destroyed these results.
         """
-        # The one that failed last goes last, so that it can't hold up the others.
-        due = sorted(self._due_lots(), key=lambda progress: progress.lot.id == self._failed)
+        # The Lot whose write failed last comes last, so that it can't delay the others.
+        due = sorted(
+            self._due_lots(), key=lambda progress: progress.lot.id == self._failed
+        )
         for progress in due:
             if isinstance(self._write(progress), NotKept | InDoubt):
                 self._failed = progress.lot.id
@@ -118,7 +124,7 @@
             ]
 
     def _write(self, progress: LotProgress) -> WriteOutcome:
-        """Keep one batch, with the texts of the runs that go on."""
+        """Write one batch of results together with the texts of unfinished samples."""
         lot_id = progress.lot.id
         with self._changed:
             batch = progress.begin_batch(BATCH_BYTES)
@@ -144,7 +150,7 @@
         )
         with self._changed:
             if isinstance(outcome, Kept):
-                # What was too much for the row counts as kept until it has grown.
+                # Texts that were too long for the row count as saved until they grow.
                 progress.batch_kept(position, texts)
                 progress.writing_since = None
                 progress.flushed_at = self._clock.monotonic()
--- a/src/wigeonfront/rollout/scope.py
+++ b/src/wigeonfront/rollout/scope.py
@@ -1,7 +1,7 @@
-"""Names of Lots that several client accounts may give alike.
+"""Scopes the names of Lots to the client account that chose them.
 
-Each account has names of its own: what another account submitted is unknown to it, by
-every call, and a name that two accounts choose means two Lots.
+Each account has a namespace of its own. No call of an account can reach a Lot of another
+account, and a name that two accounts choose stands for two Lots.
 
 Examples
 --------
@@ -14,7 +14,8 @@
 from urllib.parse import quote
 
 SEPARATOR = "@"
-"""Between an account and its Lot's name; quoted in accounts, so that it ends them."""
+"""Separates an account from the name of its Lot. Accounts are quoted and so can't contain
+it."""
 
 
 def scoped_name(account: str, name: str) -> str:
@@ -23,12 +24,14 @@
     Parameters
     ----------
     account : str
-        Empty for calls that need no key, though others do.
+        Client account; empty for calls that need no API key, in a deployment in which
+        other calls need one.
+    name : str
     """
     return f"{quote(account, safe='')}{SEPARATOR}{name}"
 
 
 def unscoped_name(lot_id: str) -> str:
-    """Return what the account itself calls a Lot."""
+    """Return the name by which the account itself calls a Lot."""
     _, separator, name = lot_id.partition(SEPARATOR)
     return name if separator else lot_id
--- a/src/wigeonfront/rollout/spooling.py
+++ b/src/wigeonfront/rollout/spooling.py
@@ -1,4 +1,4 @@
-"""Puts results on small disks while the store does not take them."""
+"""Writes results to small disks while the store does not accept them."""
 
 import logging
 import threading
@@ -17,55 +17,63 @@
 logger = logging.getLogger(__name__)
 
 SPOOL_AFTER_SECONDS = 0.4
-"""Time that a write has waited for the store before results go to the spool: many
-times what a write takes, and short against the second after which it is given up."""
+"""Time for which a write waits for the store before results are written to the spool:
+many times the duration of a write, and short compared to the second after which the
+write is given up."""
 
 PART_PAUSE_SECONDS = 0.5
-"""Time between two writes to the spool while the wanted groups are not whole."""
+"""Time between two writes to the spool while the wanted groups are incomplete."""
 
 CHECK_PAUSE_SECONDS = 0.1
-"""Pause between two looks whether results are to be spooled or forgotten."""
+"""Pause between two checks whether results have to be spooled or deleted."""
 
 RETRY_SECONDS = 0.3
-"""Pause after a disk did not take results."""
+"""Pause after a disk has not accepted results."""
 
 GIVE_UP_SECONDS = 10.0
-"""How long a Lot's next owner looks for a disk that answers; then they are all gone,
-which is more than the deployment can bear."""
+"""Time for which the next owner of a Lot looks for a disk that answers. After it all
+disks count as lost, which are more losses than the deployment tolerates."""
 
 
 def choose_members(
     lot_id: str, disks: Collection[Member], count: int
 ) -> tuple[SpoolMember, ...]:
-    """Return the disks of a new Lot's spool; none where there are too few.
+    """Return the disks of a new Lot's spool; none if there are too few.
 
     Parameters
     ----------
+    lot_id : str
     disks : collection of Member
-        Registered processes with a disk; its id is their incarnation.
+        Registered processes with a disk; the disk's id is the process's incarnation.
     count : int
-        Disks that are wanted, each of another failure domain where there are enough.
+        Number of disks, each in another failure domain if there are enough.
     """
     by_name = {member.name: member for member in disks if not member.leaving}
-    order = [by_name[name] for name in rendezvous.ranked(lot_id, by_name)]
-    seen: dict[str, int] = {}
-    turns = []
-    for member in order:
-        turns.append(seen.get(member.failure_domain, 0))
-        seen[member.failure_domain] = turns[-1] + 1
+    ranked = [by_name[name] for name in rendezvous.ranked(lot_id, by_name)]
+    domain_counts: dict[str, int] = {}
+    rounds = []
+    for member in ranked:
+        rounds.append(domain_counts.get(member.failure_domain, 0))
+        domain_counts[member.failure_domain] = rounds[-1] + 1
     chosen = [
-        member for _, _, member in sorted(zip(turns, range(len(order)), order, strict=True))
+        member
+        for _, _, member in sorted(
+            zip(rounds, range(len(ranked)), ranked, strict=True)
+        )
     ]
     if len(chosen) < count:
         return ()
-    return tuple(SpoolMember(member.address, member.incarnation) for member in chosen[:count])
+    return tuple(
+        SpoolMember(member.address, member.incarnation) for member in chosen[:count]
+    )
 
 
 def spool_due(progress: LotProgress, now: float) -> bool:
-    """Tell whether results of a Lot should go to its spool now.
+    """Return whether results of a Lot should be written to its spool now.
 
     Parameters
     ----------
+    progress : LotProgress
     now : float
         Monotonic time.
     """
@@ -82,17 +90,20 @@
 def unstored_items(
     kept: Sequence[bytes], position: int, items: Sequence[bytes]
 ) -> Sequence[bytes]:
-    """Return the spooled items that follow those that are kept.
+    """Return the spooled items that follow the items in the store.
 
-    An earlier owner may have left items that it never showed; where a later one has
-    kept others at the same positions they are void, and so is all behind them.
+    An earlier owner may have left items that it never showed. If a later owner has
+    written other items at the same positions to the store, the spooled items there and
+    all items after them are invalid.
 
     Parameters
     ----------
     kept : sequence of bytes
-        In the store.
+        All items in the store.
     position : int
-        Of the first of `items`.
+        Position of the first of `items`.
+    items : sequence of bytes
+        Items on the spool.
     """
     if position > len(kept):
         return ()
@@ -105,13 +116,13 @@
 def unstored_results(
     kept: Sequence[SampleResult], found: Recovered
 ) -> list[SampleResult]:
-    """Return the spooled results of a Lot that follow those that are kept."""
+    """Return the spooled results of a Lot that follow the results in the store."""
     items = unstored_items([*map(_encode, kept)], found.position, found.items)
     return [msgspec.msgpack.decode(item, type=SampleResult) for item in items]
 
 
 class LotSpools:
-    """Chooses the disks of new Lots, and takes what is there at a change of owner.
+    """Chooses the disks of new Lots, and reads the spool at a change of owner.
 
     Parameters
     ----------
@@ -119,7 +130,7 @@
     disks : callable
         Returns the registered processes with a disk.
     count : int
-        Disks of a Lot: as many as may be lost at once, and one more.
+        Disks of a Lot: one more than may be lost at once.
     clock : Clock
     """
 
@@ -134,7 +145,7 @@
         self._disks = disks
         self._count = count
         self._clock = clock
-        # Monotonic time since which no disk of a Lot has answered.
+        # Monotonic time since which no disk of a Lot has answered, by the Lot's id.
         self._unreached_since: dict[str, float] = {}
 
     def choose(self, lot_id: str) -> tuple[SpoolMember, ...]:
@@ -148,12 +159,22 @@
         fence: int,
         kept: Sequence[SampleResult],
     ) -> list[SampleResult] | Unreached:
-        """Return the spooled results behind those that are kept, as the next owner.
+        """Return the spooled results that follow those in the store, as the next owner.
 
         Parameters
         ----------
+        lot_id : str
+        members : sequence of SpoolMember
+            Disks of the Lot.
         fence : int
-            Revision of the head row that names this process.
+            Fencing token: the revision of the head row that names this process.
+        kept : sequence of SampleResult
+            All results in the store.
+
+        Returns
+        -------
+        list of SampleResult or Unreached
+            `Unreached` as long as the caller has to try again.
         """
         found = self._spool.recover(members, lot_id, fence)
         if isinstance(found, Recovered):
@@ -169,7 +190,7 @@
 
 
 class ResultSpooler:
-    """Writes results to the spool, and has them forgotten once they are kept.
+    """Writes results to the spool, and deletes them there once the store has them.
 
     Parameters
     ----------
@@ -194,7 +215,7 @@
         self._clock = clock
 
     def run(self, stop: threading.Event) -> None:
-        """Spool what is due (a supervisor's task)."""
+        """Write and delete results when it is due (a supervisor's task)."""
         while not stop.wait(CHECK_PAUSE_SECONDS):
             now = self._clock.monotonic()
             with self._changed:
@@ -207,8 +228,8 @@
                 ]
             for progress in obsolete:
                 self._forget(progress)
-            taken = [self._write(progress) for progress in due]
-            if not all(taken):
+            done = [self._write(progress) for progress in due]
+            if not all(done):
                 stop.wait(RETRY_SECONDS)
 
     def _write(self, progress: LotProgress) -> bool:
--- a/src/wigeonfront/rollout/submissions.py
+++ b/src/wigeonfront/rollout/submissions.py
@@ -1,9 +1,10 @@
-"""Lots that are accepted while the store is away: they lie on the disks of their spool.
+"""Lots that are accepted while the store is unavailable, on the disks of their spool.
 
-A disk only keeps a submission; it decides nothing. Who owns the Lot, and that there is
-one such Lot, is settled by its head row, which its entry writes once the store answers
-again; until then nothing of the Lot is shown. Where that entry is lost, the process
-with the disk has the Lot kept in the store, for another entry to own.
+A disk only stores a submission. The head row decides who owns the Lot, and that there
+is only one Lot of this id. The entry that accepted the Lot writes the head row once the
+store answers again; until then no result of the Lot is shown. If that entry is lost,
+the process that has the disk writes the Lot to the store, so that another entry can own
+it.
 """
 
 import enum
@@ -34,20 +35,23 @@
 KEY_PREFIX = "submission/"
 
 FENCE = 0
-"""All writers of a submission write the same; none excludes another."""
+"""Fencing token of submissions. It is the same for all writers, since all of them write
+the same submission and none has to exclude another."""
 
-MAX_SUBMISSION_BYTES = 6 * 1024 * 1024
-"""Largest Lot that goes to a disk: one call, and a tenth of the disk's file."""
+MAX_SPOOLED_BYTES = 6 * 1024 * 1024
+"""Largest encoded Lot that is written to a disk: it fits in one call, and it takes a
+tenth of the disk's file."""
 
 CHECK_PAUSE_SECONDS = 0.5
-"""Pause between two looks of a disk's process whether a submission is in the store."""
+"""Pause between two checks by a disk's process whether submissions are in the store."""
 
-SETTLE_PAUSE_SECONDS = 0.25
-"""Pause between two tries to write heads: each is a call while the store is away."""
+HEAD_PAUSE_SECONDS = 0.25
+"""Pause between two attempts to write head rows. Each attempt costs a call while the
+store is unavailable."""
 
 ENTRY_GRACE_SECONDS = 2.0
-"""How long after the store's return the entry that accepted a Lot has to write its
-head, many times what it needs; within four seconds every entry must know the Lot."""
+"""Time after an outage in which only the entry that accepted a Lot writes its head row:
+many times what it needs. Within four seconds every entry must know the Lot."""
 
 
 class Stored(enum.Enum):
@@ -59,14 +63,14 @@
 
 
 class Submission(msgspec.Struct, frozen=True):
-    """What a disk keeps of a Lot that is not in the store."""
+    """The item on a disk for a Lot that is not in the store."""
 
     lot: Lot
     spools: tuple[SpoolMember, ...]
 
 
 class SubmissionStore:
-    """Puts submissions on disks.
+    """Writes submissions to disks.
 
     Parameters
     ----------
@@ -77,9 +81,9 @@
         self._spool = spool
 
     def put(self, lot: Lot, spools: Sequence[SpoolMember]) -> Stored:
-        """Put a Lot on all of its disks."""
+        """Write a Lot to all of its disks; return whether they have it."""
         data = msgspec.msgpack.encode(Submission(lot, tuple(spools)))
-        if not spools or len(data) > MAX_SUBMISSION_BYTES:
+        if not spools or len(data) > MAX_SPOOLED_BYTES:
             return Stored.NONE
         key = KEY_PREFIX + lot.id
         done = self._spool.append(spools, key, FENCE, 0, 0, (data,))
@@ -94,12 +98,12 @@
         return Stored.ALL if done else Stored.IN_DOUBT
 
     def forget(self, lot_id: str, spools: Sequence[SpoolMember]) -> None:
-        """Tell the disks that the store has a Lot."""
+        """Have the disks delete a Lot that the store has."""
         self._spool.forget(spools, KEY_PREFIX + lot_id, FENCE, 1)
 
 
 class SubmissionRecovery:
-    """Has the submissions of one disk kept in the store where their entry did not.
+    """Writes a disk's submissions to the store if the accepting entry has not done so.
 
     Parameters
     ----------
@@ -114,27 +118,28 @@
         self._file = file
         self._repository = repository
         self._clock = clock
-        # Monotonic time since which the store answers that it has no such Lot.
+        # Monotonic time since which the store has answered that it has no such Lot, by
+        # the key of the submission.
         self._absent_since: dict[str, float] = {}
 
     def run(self, stop: threading.Event) -> None:
-        """Look after the submissions (a supervisor's task)."""
+        """Check the submissions at intervals (a supervisor's task)."""
         while not stop.wait(CHECK_PAUSE_SECONDS):
             self.check()
 
     def check(self) -> None:
-        """Look at each submission once."""
+        """Check each submission once, and delete those that the store has."""
         held = self._file.held(KEY_PREFIX)
         self._absent_since = {
             key: at for key, at in self._absent_since.items() if key in held
         }
         for key, items in held.items():
             lot_id = key.removeprefix(KEY_PREFIX)
-            if self._is_settled(lot_id, key, items):
+            if self._ensure_stored(lot_id, key, items):
                 self._file.forget(key)
 
-    def _is_settled(self, lot_id: str, key: str, items: Sequence[bytes]) -> bool:
-        """Tell whether the store has a Lot; have it kept where it is time to."""
+    def _ensure_stored(self, lot_id: str, key: str, items: Sequence[bytes]) -> bool:
+        """Return whether the store has a Lot, after writing it there if that is due."""
         head = self._repository.head(lot_id)
         if isinstance(head, Head):
             return True
@@ -151,20 +156,20 @@
 
 
 class DeferredHeadWriter:
-    """Writes the heads of Lots that were accepted here while the store was away.
+    """Writes the head rows of Lots that this process accepted during an outage.
 
     Parameters
     ----------
     repository : LotRepository
     submissions : SubmissionStore
     incarnation : callable
-        Returns that of this process.
+        Returns the incarnation of this process.
     deferred : callable
-        Returns the Lots that are run here without a head row, with their disks.
-    settle : callable
-        Called with a Lot's id and the revision of its head row, which this process
-        has written.
-    give_up : callable
+        Returns the Lots that this process runs without a head row, with their disks.
+    on_written : callable
+        Called with a Lot's id and the revision of its head row, once the row names this
+        process as the owner.
+    on_other_owner : callable
         Called with the id of a Lot that has another owner.
     """
 
@@ -174,42 +179,48 @@
         submissions: SubmissionStore,
         incarnation: Callable[[], str],
         deferred: Callable[[], list[tuple[Lot, tuple[SpoolMember, ...]]]],
-        settle: Callable[[str, int], None],
-        give_up: Callable[[str], None],
+        on_written: Callable[[str, int], None],
+        on_other_owner: Callable[[str], None],
     ) -> None:
         self._repository = repository
         self._submissions = submissions
         self._incarnation = incarnation
         self._deferred = deferred
-        self._settle = settle
-        self._give_up = give_up
+        self._on_written = on_written
+        self._on_other_owner = on_other_owner
 
     def run(self, stop: threading.Event) -> None:
-        """Settle Lots as the store answers again (a supervisor's task)."""
-        while not stop.wait(SETTLE_PAUSE_SECONDS):
+        """Write head rows once the store answers again (a supervisor's task)."""
+        while not stop.wait(HEAD_PAUSE_SECONDS):
             for lot, spools in self._deferred():
-                if not self.settle(lot, spools):
-                    # One Lot finds out whether the store is back.
+                if not self.write_head(lot, spools):
+                    # A single Lot tests whether the store is available again.
                     break
 
-    def settle(self, lot: Lot, spools: tuple[SpoolMember, ...]) -> bool:
-        """Write one head row; return whether the store took part."""
+    def write_head(self, lot: Lot, spools: tuple[SpoolMember, ...]) -> bool:
+        """Write the head row of one Lot, and find out who owns the Lot.
+
+        Returns
+        -------
+        bool
+            ``False`` if the attempt has to be repeated, as the store did not answer.
+        """
         me = self._incarnation()
         outcome = self._repository.accept(lot, me, spools)
         event(logger, "lot_settled", lot=lot.id, outcome=type(outcome).__name__)
         if isinstance(outcome, NotKept | InDoubt):
             return False
         if isinstance(outcome, Kept):
-            self._settle(lot.id, outcome.revision)
+            self._on_written(lot.id, outcome.revision)
             self._submissions.forget(lot.id, spools)
             return True
         head = self._repository.head(lot.id)
         if not isinstance(head, Head):
             return False
         if head.owner == me:
-            # An earlier write of this process, whose answer was lost.
-            self._settle(lot.id, head.revision)
+            # An earlier write of this process took effect, but its answer was lost.
+            self._on_written(lot.id, head.revision)
         else:
-            self._give_up(lot.id)
+            self._on_other_owner(lot.id)
         self._submissions.forget(lot.id, spools)
         return True
--- a/src/wigeonfront/rollout/takeover.py
+++ b/src/wigeonfront/rollout/takeover.py
@@ -1,4 +1,4 @@
-"""Takes over Lots whose owner is gone, and gives up those that others have taken."""
+"""Takes over Lots whose owner is gone, and stops Lots that now have another owner."""
 
 import logging
 import threading
@@ -22,10 +22,11 @@
 logger = logging.getLogger(__name__)
 
 CLAIM_PAUSE_SECONDS = 0.2
+"""Longest pause between two checks for Lots to claim."""
 
 
 class LotTakeover:
-    """Looks which Lots this process is to own.
+    """Claims the Lots that this process should own, and runs them.
 
     Parameters
     ----------
@@ -34,11 +35,11 @@
     known : KnownLots
     spools : LotSpools
     mirror : Mirror
-        Of the rows that tell owners and members.
+        Mirror of the rows that name the owners and the members.
     me : callable
         Returns this process as a member.
     members : callable
-        Returns the members that are registered.
+        Returns the registered members.
     on_start : callable
         Called before a Lot's first samples are sent.
     clock : Clock
@@ -46,7 +47,7 @@
     Attributes
     ----------
     leaving : bool
-        No more Lots are taken over.
+        Whether this process takes over no more Lots.
     """
 
     def __init__(
@@ -71,13 +72,13 @@
         self._on_start = on_start
         self._clock = clock
         self._missing_since: dict[str, float] = {}
-        # Monotonic time at which each Lot was first heard of.
+        # Monotonic time at which the mirror first showed each Lot, by the Lot's id.
         self._first_heard_at: dict[str, float] = {}
         self._changed = threading.Event()
         self.leaving = False
 
     def wake(self) -> None:
-        """Look at once whether a Lot is to be taken over."""
+        """Check at once whether Lots have to be taken over."""
         self._changed.set()
 
     def run(self, stop: threading.Event) -> None:
@@ -131,14 +132,21 @@
         )
 
     def claim(self, lot_id: str, head: Head) -> bool:
-        """Own a Lot whose head row is as `head`; return whether it is run here."""
+        """Claim and run a Lot if its head row is unchanged since `head`.
+
+        Returns
+        -------
+        bool
+            Whether this process runs the Lot.
+        """
         current = self._repository.head(lot_id)
         if not isinstance(current, Head) or current.revision != head.revision:
             return False
         if self._runner.owned(lot_id) is not None:
             return True
         revision = head.revision
-        # What an earlier life of the Lot here has under way must not count any more.
+        # If this process ran the Lot under this revision, its writes may still be in
+        # flight. A new revision has them rejected.
         ran_before = self._runner.has_run(lot_id, revision)
         if ran_before or head.owner != self._me().incarnation:
             outcome = self._repository.claim(lot_id, head, self._me().incarnation)
@@ -155,7 +163,7 @@
         return self._adopt(lot_id, replace(head, revision=revision))
 
     def _adopt(self, lot_id: str, head: Head) -> bool:
-        """Run a Lot that this process owns, from what the last owner has left."""
+        """Run a Lot that this process owns, from the state that the last owner left."""
         lot = self._known.load(lot_id)
         results = self._repository.results(lot_id, 0)
         if not isinstance(lot, Lot) or not isinstance(results, list):
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -160,7 +160,7 @@
         owner._lots.leave()
     else:
         owner._lots.submit_locally = lambda lot: time.sleep(2.0)
-        owner._lots._keep = lambda lot: time.sleep(2.0)
+        owner._lots._accept = lambda lot: time.sleep(2.0)
     began = time.monotonic()
     assert submit(other, "l1").status == 202
     assert time.monotonic() - began < 1.0
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -262,10 +262,10 @@
     disks = ScriptedDisks(Stored.ALL)
     head_writer, told = make_head_writer(rows, disks)
     rows.faults.down = True
-    assert not head_writer.settle(LOT, SPOOLS)
+    assert not head_writer.write_head(LOT, SPOOLS)
     assert (told, disks.forgotten) == ([], [])
     rows.faults.down = False
-    assert head_writer.settle(LOT, SPOOLS)
+    assert head_writer.write_head(LOT, SPOOLS)
     assert told == expected
     assert disks.forgotten == [LOT.id]
     assert repository.head(LOT.id).owner == (ME if owner is None else owner)
