--- a/src/wigeonfront/rollout/__init__.py
+++ b/src/wigeonfront/rollout/__init__.py
@@ -11,6 +11,6 @@
 `spooling` writes results to disks.
 
 Tasks for the caller's supervisor: `LotRunner.send_loop`, `ResultWriter.run`,
-`Scoring.run`, `LoadFollower.run` and `Lots.takeover_loop`. Each run of a sample and each
-reward call has a thread of its own.
+`Scoring.run`, `LoadFollower.run` and `Lots.takeover_loop`. Each run of a sample and
+each reward call has a thread of its own.
 """
--- a/src/wigeonfront/rollout/scope.py
+++ b/src/wigeonfront/rollout/scope.py
@@ -1,7 +1,7 @@
 """Scopes the names of Lots to the client account that chose them.
 
-Each account has a namespace of its own. No call of an account can reach a Lot of another
-account, and a name that two accounts choose stands for two Lots.
+Each account has a namespace of its own. No call of an account can reach a Lot of
+another account, and a name that two accounts choose stands for two Lots.
 
 Examples
 --------
@@ -14,8 +14,8 @@
 from urllib.parse import quote
 
 SEPARATOR = "@"
-"""Separates an account from the name of its Lot. Accounts are quoted and so can't contain
-it."""
+"""Separates an account from the name of its Lot. A quoted account does not contain it,
+so that the first separator ends the account."""
 
 
 def scoped_name(account: str, name: str) -> str:
--- a/tests/test_lot_repository.py
+++ b/tests/test_lot_repository.py
@@ -30,7 +30,7 @@
     return repository, kept.revision
 
 
-def test_a_lot_is_read_back_whole_also_from_several_rows():
+def test_a_lot_in_several_rows_is_read_back_whole():
     lot = make_lot(samples=40, min_version=3, target_groups=18)
     repository, _ = keep(make_store(), lot)
     head = repository.head(lot.id)
@@ -46,14 +46,14 @@
     assert repository.head("lot-1").owner == "e1"
 
 
-def test_an_acceptance_whose_answer_was_lost_is_settled():
+def test_accept_finds_its_own_write_after_a_lost_answer():
     store = make_store()
     store.faults.lose_writes = 1
     repository, revision = keep(store)
     assert repository.head("lot-1").revision == revision
 
 
-def test_nothing_is_promised_while_it_is_unknown_whether_a_lot_was_kept():
+def test_accept_is_in_doubt_if_all_answers_are_lost():
     store = make_store()
     store.faults.lose_writes = 9
     store.faults.lost_are_done = False
@@ -61,7 +61,7 @@
     assert isinstance(outcome, InDoubt)
 
 
-def test_a_store_that_is_down_keeps_nothing():
+def test_accept_writes_nothing_while_the_store_is_down():
     store = make_store()
     store.faults.down = True
     repository = LotRepository(store, VALUE_BYTES)
@@ -75,12 +75,12 @@
     assert repository.append("lot-1", revision, 0, [result("a")]) == Kept(revision)
     second = [result("b"), result("c")]
     assert repository.append("lot-1", revision, 1, second) == Kept(revision)
-    assert [one.id for one in repository.results("lot-1", 0)] == ["a", "b", "c"]
-    assert [one.id for one in repository.results("lot-1", 1)] == ["b", "c"]
+    assert [found.id for found in repository.results("lot-1", 0)] == ["a", "b", "c"]
+    assert [found.id for found in repository.results("lot-1", 1)] == ["b", "c"]
     assert repository.results("lot-1", 3) == []
 
 
-def test_a_batch_that_is_written_twice_stands_once():
+def test_a_batch_that_is_written_twice_takes_effect_once():
     store = make_store()
     repository, revision = keep(store)
     store.faults.lose_writes = 1
@@ -90,7 +90,7 @@
     assert repository.results("lot-1", 0) == batch
 
 
-def test_an_owner_that_was_replaced_writes_nothing_more():
+def test_a_replaced_owner_can_not_write_results():
     repository, revision = keep(make_store())
     claimed = repository.claim("lot-1", repository.head("lot-1"), "e2")
     assert isinstance(claimed, Kept)
@@ -103,14 +103,14 @@
     assert repository.results("lot-1", 0) == [result("b")]
 
 
-def test_nothing_is_added_after_the_end():
+def test_no_results_are_added_to_an_ended_lot():
     repository, revision = keep(make_store())
     assert isinstance(repository.end("lot-1", repository.head("lot-1")), Kept)
     assert repository.head("lot-1").state is LotState.ENDED
     assert repository.append("lot-1", revision, 0, [result("a")]) == OwnerReplaced()
 
 
-def test_unfinished_texts_go_to_the_next_owner():
+def test_a_hand_over_leaves_unfinished_texts_to_the_next_owner():
     repository, revision = keep(make_store())
     texts = {"long": Text([b"x"] * 30, {3}), "huge": Text([b"y" * 900], {3})}
     head = Head("", LotState.OPEN, 3, 1, 0.0)
@@ -120,7 +120,7 @@
     assert repository.texts("other") == {}
 
 
-def test_texts_of_runs_are_kept_beside_results_or_alone_and_replaced():
+def test_unfinished_texts_are_written_with_or_without_results_and_replaced():
     repository, revision = keep(make_store())
     first, second = {"s": Text([b"x"] * 8, {3})}, {"s": Text([b"x"] * 16, {3, 4})}
     assert repository.append("lot-1", revision, 0, [result("a")], first) == Kept(
@@ -132,7 +132,7 @@
     assert repository.results("lot-1", 0) == [result("a")]
 
 
-def test_texts_of_an_owner_that_was_replaced_are_not_kept():
+def test_a_replaced_owner_can_not_write_unfinished_texts():
     repository, revision = keep(make_store())
     assert isinstance(repository.claim("lot-1", repository.head("lot-1"), "e2"), Kept)
     texts = {"s": Text([b"x"] * 8, {3})}
@@ -141,13 +141,13 @@
 
 
 class OwnersRace(RuleBasedStateMachine):
-    """Two owners that believe what they last heard, and a store that loses answers."""
+    """Two owners that act on their last answers, and a store that loses answers."""
 
     def __init__(self):
         super().__init__()
         self.store = make_store()
         self.repository, revision = keep(self.store)
-        # What each owner believes: head revision and the results that it knows.
+        # What each owner believes: the head revision, and the results that it knows.
         self.beliefs = {"e1": (revision, []), "e2": (0, [])}
         self.seen = []
         self.next_result = 0
@@ -160,12 +160,12 @@
             results = self.repository.results("lot-1", 0)
             self.beliefs[owner] = (outcome.revision, results)
 
-    @rule(owner=st.sampled_from(["e1", "e2"]), again=st.booleans())
-    def append(self, owner, again):
+    @rule(owner=st.sampled_from(["e1", "e2"]), repeated=st.booleans())
+    def append(self, owner, repeated):
         revision, known = self.beliefs[owner]
         if not revision:
             return
-        if not again:
+        if not repeated:
             self.next_result += 1
         batch = [result(f"r{self.next_result}")]
         if batch[0] in known:
--- a/tests/test_lot_times.py
+++ b/tests/test_lot_times.py
@@ -1,4 +1,4 @@
-"""Clocks that are wrong, and jump, end no sample early and keep none too long."""
+"""Clocks that differ or jump cause no sample to be given up too early or too late."""
 
 import pytest
 
@@ -11,19 +11,19 @@
 
 
 class WrongClock(ManualClock):
-    """A clock whose time of day is off, and may jump."""
+    """A clock with a wrong Unix time, which may jump."""
 
-    def __init__(self, off=0.0):
+    def __init__(self, offset=0.0):
         super().__init__(100.0)
-        self.off = off
+        self.offset = offset
 
     def time(self):
-        return 1_000_000.0 + self.monotonic() + self.off
+        return 1_000_000.0 + self.monotonic() + self.offset
 
 
 @pytest.mark.parametrize("jump", JUMPS)
 @pytest.mark.parametrize("stage", ["waits", "runs", "is scored"])
-def test_a_jump_gives_up_no_sample_early(stage, jump):
+def test_a_clock_jump_gives_up_no_sample_early(stage, jump):
     clock = WrongClock()
     calls = Calls()
     if stage == "is scored":
@@ -36,7 +36,7 @@
         progress = owner.adopt(make_lot(submitted_at=clock.time()))
         if stage == "is scored":
             wait_for(lambda: calls.sent)
-        clock.off += jump
+        clock.offset += jump
         clock.advance(39.0)
         owner.runner.wake()
         calls.held.set()
@@ -49,13 +49,13 @@
 
 
 @pytest.mark.parametrize("jump", JUMPS)
-def test_a_jump_keeps_no_sample_longer(jump):
+def test_a_clock_jump_does_not_delay_giving_up_a_sample(jump):
     clock = WrongClock()
     calls = Calls()
     owner = Owner(calls, routes=(), clock=clock)
     try:
         progress = owner.adopt(make_lot(submitted_at=clock.time()))
-        clock.off += jump
+        clock.offset += jump
         clock.advance(40.5)
         owner.runner.wake()
         wait_for(lambda: not progress.open)
@@ -66,19 +66,23 @@
 
 @pytest.mark.parametrize("skew", [-8.0, 0.0, 8.0])
 @pytest.mark.parametrize("known_for", [0.0, 5.0, 39.5, 40.5])
-def test_the_next_owner_gives_up_by_what_it_knows_for_certain(known_for, skew):
-    """It has heard of the Lot so long ago; the two clocks differ by `skew`."""
+def test_the_next_owner_gives_up_by_the_time_for_which_it_has_known_the_lot(
+    known_for, skew
+):
+    """The clocks of the two owners differ by `skew`, which must have no effect."""
     lot = make_lot(give_up_seconds=40.0, due_seconds=7.5, submitted_at=1_000.0)
     now, unix_now = 500.0, 1_000.0 + known_for + skew
     progress = LotProgress(lot, 1, [], submission_times(lot, known_for, now, unix_now))
     assert (now >= progress.gives_up_at) == (known_for >= 40.0)
-    # The order of Lots may be off by as much as a Lot has time, and no more.
+    # The due time, which orders the Lots, is off by at most the Lot's `due_seconds`.
     assert now - known_for <= progress.due_at <= now - known_for + 7.5
 
 
-def test_of_two_lots_the_older_goes_first_also_after_a_restart():
+def test_the_older_of_two_lots_comes_first_also_after_a_restart():
     clock = WrongClock()
     ages = (3.0, 1.0)
     lots = [make_lot(due_seconds=7.5, submitted_at=clock.time() - age) for age in ages]
-    times = [submission_times(lot, 0.0, clock.monotonic(), clock.time()) for lot in lots]
+    times = [
+        submission_times(lot, 0.0, clock.monotonic(), clock.time()) for lot in lots
+    ]
     assert times[0].likely < times[1].likely
--- a/tests/test_owner_cut_off.py
+++ b/tests/test_owner_cut_off.py
@@ -1,4 +1,4 @@
-"""An owner that may have been replaced and not have heard of it."""
+"""An owner that is cut off from the store and may have been replaced."""
 
 import pytest
 
@@ -21,14 +21,14 @@
 
 
 def cut_off(entry, relay):
-    """Leave an entry nothing but its callers; its calls are refused, not in doubt."""
+    """Cut an entry off from the store and the others; its calls are refused at once."""
     entry._view.relays = lambda: []
     entry._view._sources = lambda: []
     relay.close()
 
 
-def test_an_owner_that_was_replaced_unnoticed_shows_no_empty_page(deployed):
-    """A trainer has read the results at the next owner."""
+def test_an_owner_that_does_not_know_of_its_replacement_shows_no_empty_page(deployed):
+    """A trainer may have read results at the next owner."""
     relay = make_relay(deployed, loopback_host())
     host, port = relay.address
     owner = deployed.add_entry("n1", store=f"{host}:{port}")
--- a/tests/test_pending.py
+++ b/tests/test_pending.py
@@ -1,4 +1,4 @@
-"""Whether a Lot that the store lacks may still be accepted, without a network."""
+"""Whether a Lot that the store lacks may have been accepted, without a network."""
 
 import pytest
 
@@ -13,11 +13,11 @@
 from wigeonfront.rollout.submissions import KEY_PREFIX
 from wigeonfront.spool import Unreached
 
-BACK = LONGEST_ABSENCE_SECONDS
+ABSENCE_SECONDS = LONGEST_ABSENCE_SECONDS
 
 
 class ScriptedSpool:
-    """Disks that hold what they are told; those without an entry do not answer."""
+    """Disks that hold the given Lots; other disks do not answer."""
 
     def __init__(self, **held):
         self.held = held
@@ -31,8 +31,8 @@
 
 
 def make_pending(spool, addresses=("d1", "d2"), clock=None):
-    seen = DiskRegistrations(addresses, (), 60.0)
-    return PendingLots(spool, lambda: seen, clock or ManualClock())
+    disks = DiskRegistrations(addresses, (), 60.0)
+    return PendingLots(spool, lambda: disks, clock or ManualClock())
 
 
 @pytest.mark.parametrize(
@@ -42,12 +42,12 @@
         ((), None, "store not followed"),
         (("s1",), None, "store not followed"),
         (("s1", "s2"), 0.0, "disk of s1 not back"),
-        (("s1",), BACK - 0.1, "disk of s1 not back"),
-        # Its machine is gone for good.
-        (("s1",), BACK, ""),
+        (("s1",), ABSENCE_SECONDS - 0.1, "disk of s1 not back"),
+        # The VM is gone for good.
+        (("s1",), ABSENCE_SECONDS, ""),
     ],
 )
-def test_disks_that_are_not_registered(absent, followed_for, doubt):
+def test_when_unregistered_disks_may_have_lots(absent, followed_for, doubt):
     assert doubt_about_disks(DiskRegistrations(("d1",), absent, followed_for)) == doubt
 
 
@@ -64,17 +64,17 @@
         ({"d1": []}, "disk d2 not reached"),
     ],
 )
-def test_every_disk_must_say_that_it_has_no_such_lot(held, doubt):
+def test_a_lot_is_in_doubt_unless_every_disk_lacks_it(held, doubt):
     assert make_pending(ScriptedSpool(**held)).doubt_reason("l1") == doubt
 
 
-def test_without_disks_nothing_is_pending():
+def test_no_lot_is_in_doubt_without_disks():
     spool = ScriptedSpool()
     assert make_pending(spool, addresses=()).doubt_reason("l1") == ""
     assert spool.asked == []
 
 
-def test_many_unknown_lots_cost_one_listing():
+def test_lookups_of_several_lots_share_one_listing():
     clock = ManualClock()
     spool = ScriptedSpool(d1=["l7"], d2=[])
     pending = make_pending(spool, clock=clock)
--- a/tests/test_result_writer.py
+++ b/tests/test_result_writer.py
@@ -1,4 +1,4 @@
-"""What the writer writes while the store is away, and when it is back."""
+"""What the writer writes while the store is unavailable, and once it is back."""
 
 import threading
 import time
@@ -17,20 +17,20 @@
 
 
 class Repository:
-    """Takes part for some Lots only."""
+    """Accepts the writes of all Lots but those with a failure."""
 
     def __init__(self):
-        self.away = {}
-        self.asked = []
+        self.failures = {}
+        self.calls = []
 
     def append(self, lot_id, head_revision, position, batch, texts):
-        self.asked.append(lot_id)
-        return self.away.get(lot_id) or Kept(head_revision)
+        self.calls.append(lot_id)
+        return self.failures.get(lot_id) or Kept(head_revision)
 
 
 @pytest.fixture
-def kept():
-    """Return a writer of three Lots with unsaved texts, and its repository."""
+def writing():
+    """Return a writer of three Lots with unsaved texts, its repository and clock."""
     clock = ManualClock(100.0)
     lots = []
     for name in ("a", "b", "c"):
@@ -51,58 +51,58 @@
 
 
 @pytest.mark.parametrize("outcome", [NotKept("down"), InDoubt("silent")])
-def test_one_lot_finds_out_whether_the_store_is_back(kept, outcome):
-    """Each unanswered call takes a second, in which a store that is back keeps none."""
-    writer, repository, _ = kept
-    repository.away = dict.fromkeys("abc", outcome)
+def test_a_single_lot_tests_whether_the_store_is_back(writing, outcome):
+    """Each unanswered call takes a second, in which no other Lot is written."""
+    writer, repository, _ = writing
+    repository.failures = dict.fromkeys("abc", outcome)
     for _ in range(3):
         assert not writer._write_due()
-    assert len(repository.asked) == 3
-    repository.away = {}
+    assert len(repository.calls) == 3
+    repository.failures = {}
     assert writer._write_due()
-    assert set(repository.asked[3:]) == {"a", "b", "c"}
+    assert set(repository.calls[3:]) == {"a", "b", "c"}
 
 
-def test_a_lot_that_can_not_be_kept_holds_up_no_other(kept):
-    writer, repository, clock = kept
-    repository.away = {"a": NotKept("too large")}
+def test_a_lot_that_can_not_be_written_delays_no_other_lot(writing):
+    writer, repository, clock = writing
+    repository.failures = {"a": NotKept("too large")}
     assert not writer._write_due()
     assert not writer._write_due()
-    assert repository.asked == ["a", "b", "c", "a"]
+    assert repository.calls == ["a", "b", "c", "a"]
     clock.advance(TEXT_SECONDS)
     for progress in writer._lots():
         progress.open[f"{progress.lot.id}1"].snapshot = Text([b"x", b"y"], {1})
-    repository.asked.clear()
+    repository.calls.clear()
     assert not writer._write_due()
-    assert repository.asked == ["b", "c", "a"]
+    assert repository.calls == ["b", "c", "a"]
 
 
-def test_a_batch_that_is_written_twice_at_once_counts_once(kept):
-    """The second answer must not be taken for that to the batch behind."""
-    writer, repository, _ = kept
+def test_a_batch_that_is_written_twice_at_once_counts_once(writing):
+    """The second answer must not be taken for the answer to the next batch."""
+    writer, repository, _ = writing
     samples = tuple(Sample(f"s{number}", "/x", (), b"") for number in range(2))
     progress = LotProgress(Lot("lot", "h", "/", samples), 1, [])
     for sample in samples:
         progress.finish(SampleResult(sample.id, True, b"x" * BATCH_BYTES))
     both, answer = threading.Barrier(2), threading.Event()
 
-    def late(*arguments):
+    def answer_late(*arguments):
         both.wait(5)
         answer.wait(5)
         return Kept(1)
 
-    def at_once(*arguments):
+    def answer_at_once(*arguments):
         both.wait(5)
         return Kept(1)
 
-    repository.append = late
+    repository.append = answer_late
     slow = threading.Thread(target=writer._write, args=(progress,))
     slow.start()
     while not both.n_waiting:
         time.sleep(0.001)
-    repository.append = at_once
+    repository.append = answer_at_once
     writer._write(progress)
-    # The next batch is being written as the late answer comes.
+    # The next batch is being written when the late answer arrives.
     assert progress.begin_batch(BATCH_BYTES) == [SampleResult("s1", True, ANY)]
     answer.set()
     slow.join(5)
--- a/tests/test_results_in_doubt.py
+++ b/tests/test_results_in_doubt.py
@@ -1,4 +1,4 @@
-"""Results whose write has no answer yet: other entries may have read them."""
+"""Results whose write is unanswered, so that other entries may have read them."""
 
 import time
 
@@ -19,7 +19,7 @@
 
 
 def lose_answers(deployed, entry):
-    """Have the store take the results of a Lot, and its owner not hear of it."""
+    """Have the store accept the results of a Lot, but lose the answers to its owner."""
     submit(entry, "l1")
     deployed.rows.faults.lost_are_done = True
     deployed.rows.faults.lose_writes = 1_000
@@ -31,14 +31,14 @@
 def test_a_result_that_was_read_elsewhere_is_not_missing_at_the_owner(
     deployed, reached
 ):
-    """An empty page would take back what a trainer has read at another entry."""
+    """An empty page would withdraw results that a trainer has read at another entry."""
     owner, other = deployed.add_entry("n1"), deployed.add_entry("n2")
     lose_answers(deployed, owner)
     if not reached:
         other._lots._owners.read = lambda *arguments: None
     seen = wait_for(lambda: (read(other, "l1")[1] or {}).get("results"))
     assert read(owner, "l1")[0] == 503
-    # Nothing is known behind the batch that is in doubt.
+    # No result follows the batch that is in doubt.
     assert read(owner, "l1", SAMPLES) == (
         200,
         {"total": SAMPLES, "next": SAMPLES, "results": []},
@@ -49,7 +49,7 @@
     assert page["results"][: len(seen)] == seen
 
 
-def test_a_reader_that_waits_gets_the_result_once_the_doubt_is_settled(deployed):
+def test_a_waiting_reader_gets_the_result_once_the_write_is_confirmed(deployed):
     owner = deployed.add_entry("n1")
     lose_answers(deployed, owner)
     began = time.monotonic()
@@ -64,7 +64,7 @@
 RESULTS = [SampleResult(sample.id, True) for sample in LOT.samples]
 
 
-def batch_begun(count):
+def progress_with_batch(count):
     progress = LotProgress(LOT, 1, [])
     for result in RESULTS[:count]:
         progress.finish(result)
@@ -79,13 +79,13 @@
         pytest.param([], 2, id="no answer yet"),
         pytest.param([False], 0, id="not written"),
         pytest.param([True], 2, id="the answer is lost"),
-        # A refusal tells nothing of the send before it.
+        # A refused send says nothing about the send before it.
         pytest.param([True, False], 2, id="the answer is lost, then refused"),
         pytest.param([False, True], 2, id="refused, then the answer is lost"),
     ],
 )
-def test_what_the_store_may_have(ends, possible):
-    progress = batch_begun(2)
+def test_up_to_which_position_the_store_may_have_results(ends, possible):
+    progress = progress_with_batch(2)
     for number, maybe_done in enumerate(ends):
         if number:
             progress.write_sent()
@@ -97,8 +97,8 @@
     assert progress.possibly_kept == len(progress.kept) == 2
 
 
-def test_a_late_answer_to_an_earlier_batch_leaves_the_present_one_certain():
-    progress = batch_begun(1)
+def test_a_lost_answer_to_an_earlier_batch_puts_the_next_one_in_no_doubt():
+    progress = progress_with_batch(1)
     progress.write_sent()
     progress.batch_kept(0)
     progress.write_ended(0, maybe_done=False)
--- a/tests/test_spooling.py
+++ b/tests/test_spooling.py
@@ -1,4 +1,4 @@
-"""Results on small disks while the store is away, over real sockets."""
+"""Results on small disks while the store is unavailable, over real sockets."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -44,7 +44,7 @@
 
 
 def run_in_an_outage(deployed, entry, lot_id="l1"):
-    """Have a Lot run to its end while the store is away; return what is shown."""
+    """Run a Lot to its end while the store is unavailable; return the page shown."""
     for engine in deployed.engines:
         engine.faults.event_seconds = 0.2
     assert submit(entry, lot_id).status == 202
@@ -56,7 +56,7 @@
 
 
 def wait_for_short_lease(entry):
-    """Wait until the entry would be missed soon: an idle one has a long lease."""
+    """Wait until the entry has a short lease; an idle entry has a long one."""
     wait_for(lambda: entry._registration._term == BOUNDS.lease_seconds)
 
 
@@ -65,7 +65,7 @@
 
 
 def kill(entry, *lots):
-    """End an entry without notice."""
+    """End an entry without a hand-over of its Lots."""
     entry._supervisor._tell()
     for server in entry._servers.values():
         server.close(0.0)
@@ -73,18 +73,18 @@
         entry._runner.stop_lot(lot_id, "killed by the test")
 
 
-def test_results_are_shown_while_the_store_is_away(deployed):
+def test_results_are_shown_while_the_store_is_unavailable(deployed):
     entry = add_entry(deployed, "n1")
     page = run_in_an_outage(deployed, entry)
     check(deployed, page)
     deployed.rows.faults.down = False
     wait_for(lambda: entry._runner.owned("l1").finished)
     assert read_all(entry, "l1") == page
-    # The disks hold nothing that the store has.
+    # The disks delete what the store has.
     wait_for(lambda: not any(disk._spool.item_count for disk in deployed.disks))
 
 
-def test_without_disks_results_wait_for_the_store(deployed):
+def test_without_disks_results_are_shown_only_once_the_store_is_back(deployed):
     for disk in deployed.disks:
         disk.stop()
     entry = deployed.add_entry("n1")
@@ -98,7 +98,7 @@
     check(deployed, read_all(entry, "l1"))
 
 
-def test_a_disk_that_takes_nothing_keeps_results_from_being_shown(deployed):
+def test_results_that_one_disk_lacks_are_not_shown(deployed):
     entry = add_entry(deployed, "n1")
     submit(entry, "l1")
     deployed.rows.faults.down = True
@@ -111,7 +111,9 @@
 
 
 @pytest.mark.parametrize("lost", [None, 0, 1])
-def test_what_was_shown_outlives_its_owner_and_a_disk(deployed, tmp_path, lost):
+def test_shown_results_survive_the_loss_of_the_owner_and_a_disk(
+    deployed, tmp_path, lost
+):
     first = add_entry(deployed, "n1")
     second = add_entry(deployed, "n2")
     page = run_in_an_outage(deployed, first)
@@ -129,7 +131,7 @@
     assert set(ran.values()) == {1}
 
 
-def test_what_was_shown_outlives_the_loss_of_all_processes(deployed, tmp_path):
+def test_shown_results_survive_the_end_of_all_processes(deployed, tmp_path):
     first = add_entry(deployed, "n1")
     page = run_in_an_outage(deployed, first)
     kill(first, "l1")
@@ -142,8 +144,8 @@
     assert read_all(second, "l1") == page
 
 
-def test_a_next_owner_shows_no_page_without_what_the_last_one_showed(deployed):
-    """It has the results from a disk, and the store has yet to take them."""
+def test_the_next_owner_shows_no_page_that_lacks_shown_results(deployed):
+    """The next owner has recovered them from a disk, and the store lacks them still."""
     first = add_entry(deployed, "n1")
     second = add_entry(deployed, "n2")
     page = run_in_an_outage(deployed, first)
@@ -175,7 +177,9 @@
 
 
 @pytest.mark.parametrize("owner_lives", [True, False])
-def test_a_lot_that_is_ended_elsewhere_keeps_what_was_shown(deployed, owner_lives):
+def test_a_lot_that_is_ended_at_another_entry_keeps_shown_results(
+    deployed, owner_lives
+):
     first = add_entry(deployed, "n1")
     second = add_entry(deployed, "n2")
     page = run_in_an_outage(deployed, first)
@@ -190,7 +194,7 @@
     assert read_all(third, "l1") == page
 
 
-def test_an_end_while_the_store_is_away_loses_nothing(deployed):
+def test_an_end_while_the_store_is_unavailable_loses_no_results(deployed):
     entry = add_entry(deployed, "n1")
     page = run_in_an_outage(deployed, entry)
     assert end(entry, "l1") == 503
@@ -200,8 +204,8 @@
     assert read_all(deployed.add_entry("n2"), "l1") == page
 
 
-def test_a_lot_that_is_run_here_again_has_another_revision(deployed):
-    """What the process wrote before, and what arrives late, is refused by all."""
+def test_a_lot_that_an_entry_runs_again_has_a_new_revision(deployed):
+    """Late writes that the entry sent under the old revision are refused."""
     entry = add_entry(deployed, "n1")
     run_in_an_outage(deployed, entry)
     before = entry._runner.owned("l1").head_revision
@@ -214,7 +218,7 @@
     )
 
 
-def test_many_who_end_a_lot_at_once_lose_nothing(deployed):
+def test_concurrent_ends_of_a_lot_lose_no_results(deployed):
     first = add_entry(deployed, "n1")
     second = add_entry(deployed, "n2")
     page = run_in_an_outage(deployed, first)
@@ -232,7 +236,7 @@
         assert read_all(entry, "l1") == page
 
 
-def test_a_reader_that_has_read_within_a_batch_reads_on_in_the_store(deployed):
+def test_a_reader_that_stopped_within_a_batch_continues_from_the_store(deployed):
     first = add_entry(deployed, "n1")
     second = add_entry(deployed, "n2")
     for engine, seconds in zip(deployed.engines, (0.2, 0.4), strict=True):
@@ -244,7 +248,7 @@
     results = wait_for(lambda: (read(second, "l1")[1] or {}).get("results"))
     assert 0 < len(results) < SAMPLES
     wait_for(lambda: not first._runner.owned("l1").open, 15.0)
-    # One batch in the store now has more than what was read.
+    # The store now has one batch with the results that were read and with others.
     deployed.rows.faults.down = False
     wait_for(lambda: end(first, "l1") == 200, 10.0)
     kill(first)
@@ -253,7 +257,7 @@
     assert page["results"][: len(results)] == results
 
 
-def test_a_machine_that_is_to_be_emptied_says_so_once_it_holds_nothing(deployed):
+def test_a_retiring_disk_reports_completion_once_it_holds_no_items(deployed):
     entry = add_entry(deployed, "n1")
     run_in_an_outage(deployed, entry)
     disk = deployed.disks[0]
@@ -269,23 +273,23 @@
     }
     assert disk._spool.item_count == 0
     assert isinstance(deployed.rows.get(DISK_PREFIX + "s0"), Absent)
-    # No new Lot names it.
-    wait_for(lambda: any(one.leaving for one in entry._view.disks()))
+    # No new Lot uses the disk.
+    wait_for(lambda: any(member.leaving for member in entry._view.disks()))
     assert entry._lots._spools.choose("l2") == ()
 
 
 # --- decisions -------------------------------------------------------------------
 
 
-def disks(*places):
+def disks(*domains):
     return [
-        Member(f"s{number}", f"disk-{number}", f"h:{number}", failure_domain=place)
-        for number, place in enumerate(places)
+        Member(f"s{number}", f"disk-{number}", f"h:{number}", failure_domain=domain)
+        for number, domain in enumerate(domains)
     ]
 
 
 @pytest.mark.parametrize(
-    ("places", "count", "domains"),
+    ("domains", "count", "distinct"),
     [
         ("abc", 2, 2),
         ("abcde", 3, 3),
@@ -296,19 +300,19 @@
         ("", 1, 0),
     ],
 )
-def test_disks_of_a_lot_are_in_different_failure_domains(places, count, domains):
+def test_disks_of_a_lot_are_in_different_failure_domains(domains, count, distinct):
     for number in range(20):
-        found = choose_members(f"lot-{number}", disks(*places), count)
-        assert len(found) == (count if domains else 0)
-        assert len({places[int(one.disk[5:])] for one in found}) == domains
-        assert len(set(found)) == len(found)
+        chosen = choose_members(f"lot-{number}", disks(*domains), count)
+        assert len(chosen) == (count if distinct else 0)
+        assert len({domains[int(member.disk[5:])] for member in chosen}) == distinct
+        assert len(set(chosen)) == len(chosen)
 
 
 def test_lots_are_spread_over_the_disks():
     chosen = {
-        one.disk
+        member.disk
         for number in range(50)
-        for one in choose_members(f"lot-{number}", disks(*"abcde"), 3)
+        for member in choose_members(f"lot-{number}", disks(*"abcde"), 3)
     }
     assert len(chosen) == 5
 
@@ -318,20 +322,24 @@
     [
         pytest.param({}, SPOOL_AFTER_SECONDS, 2, True, id="the store does not answer"),
         pytest.param({}, SPOOL_AFTER_SECONDS / 2, 2, False, id="it may yet answer"),
-        pytest.param({}, SPOOL_AFTER_SECONDS, 0, False, id="nothing finished"),
+        pytest.param({}, SPOOL_AFTER_SECONDS, 0, False, id="no results"),
         pytest.param({"spools": ()}, 9.0, 2, False, id="no disks"),
-        pytest.param({"ended": True}, 9.0, 2, False, id="ended"),
-        pytest.param({"spooled": 2}, 9.0, 2, False, id="there already"),
-        pytest.param({"spooled": 1}, 9.0, 2, True, id="one more"),
-        pytest.param({"writing_since": None}, 9.0, 2, False, id="nothing is written"),
-        pytest.param({"spooled_at": 100.0}, 0.5, 2, True, id="whole: at once"),
-        pytest.param({"spooled_at": 100.2}, 0.5, 1, False, id="a part: not again"),
+        pytest.param({"ended": True}, 9.0, 2, False, id="the Lot has ended"),
+        pytest.param({"spooled": 2}, 9.0, 2, False, id="all spooled already"),
+        pytest.param({"spooled": 1}, 9.0, 2, True, id="one result more"),
+        pytest.param({"writing_since": None}, 9.0, 2, False, id="no write is begun"),
+        pytest.param({"spooled_at": 100.0}, 0.5, 2, True, id="whole group: at once"),
+        pytest.param({"spooled_at": 100.2}, 0.5, 1, False, id="part of it: not yet"),
         pytest.param(
-            {"spooled_at": 100.5 - PART_PAUSE_SECONDS}, 0.5, 1, True, id="a part, later"
+            {"spooled_at": 100.5 - PART_PAUSE_SECONDS},
+            0.5,
+            1,
+            True,
+            id="part of it: after the pause",
         ),
     ],
 )
-def test_when_results_go_to_the_spool(changes, waited, results, due):
+def test_when_results_are_written_to_the_spool(changes, waited, results, due):
     samples = tuple(Sample(f"s{n}", "/x", (), b"", "g") for n in range(2))
     lot = Lot("lot", "h", "/", samples)
     progress = LotProgress(lot, 1, [], spools=(SpoolMember("h:1", "d"),))
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -1,4 +1,4 @@
-"""Lots that are accepted while the store is away, over real sockets and without."""
+"""Lots that are accepted while the store is unavailable, with and without sockets."""
 
 import threading
 from dataclasses import replace
@@ -62,7 +62,7 @@
     return sum(len(disk._spool.held(KEY_PREFIX)) for disk in deployed.disks)
 
 
-def test_a_lot_runs_while_the_store_is_away_and_is_shown_at_its_return(deployed):
+def test_a_lot_runs_during_an_outage_and_its_results_are_shown_after_it(deployed):
     first, second = add_entry(deployed, "n1"), add_entry(deployed, "n2")
     deployed.rows.faults.down = True
     assert submit(first, "l1").status == 202
@@ -83,7 +83,7 @@
     assert call(second, "DELETE", "/lots/l1").status == 200
 
 
-def test_a_lot_outlives_the_entry_that_accepted_it_in_an_outage(deployed):
+def test_a_lot_survives_the_loss_of_its_entry_in_an_outage(deployed):
     first, second = add_entry(deployed, "n1"), add_entry(deployed, "n2")
     deployed.rows.faults.down = True
     assert submit(first, "l1").status == 202
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("lost", [0, 1])
 def test_a_lot_that_only_disks_have_is_not_called_unknown(deployed, lost):
-    """404 would tell its trainer that an accepted Lot is lost."""
+    """A 404 would tell the trainer that an accepted Lot is lost."""
     first = add_entry(deployed, "n1")
     deployed.rows.faults.down = True
     assert submit(first, "l1").status == 202
@@ -117,8 +117,8 @@
     check(deployed, read_all(second, "l1"))
 
 
-def test_a_lot_that_disks_had_is_not_called_unknown_once_their_leases_lapsed(deployed):
-    """A long outage outlives the leases; disks register again seconds after it."""
+def test_a_lot_on_disks_is_not_called_unknown_after_their_leases_lapsed(deployed):
+    """A long outage outlasts the leases; disks register again seconds after it."""
     first = add_entry(deployed, "n1")
     deployed.rows.faults.down = True
     assert submit(first, "l1").status == 202
@@ -138,7 +138,7 @@
     assert call(entry, "DELETE", "/lots/l9").status == 404
 
 
-def test_a_lot_outlives_a_planned_stop_in_an_outage(deployed):
+def test_a_lot_survives_a_planned_stop_of_its_entry_in_an_outage(deployed):
     first, second = add_entry(deployed, "n1"), add_entry(deployed, "n2")
     deployed.rows.faults.down = True
     assert submit(first, "l1").status == 202
@@ -152,19 +152,19 @@
 def test_a_lot_that_two_entries_accept_has_one_owner_and_one_order(deployed):
     first, second = add_entry(deployed, "n1"), add_entry(deployed, "n2")
     deployed.rows.faults.down = True
-    assert [submit(one, "l1").status for one in (first, second)] == [202, 202]
+    assert [submit(entry, "l1").status for entry in (first, second)] == [202, 202]
     wait_for(lambda: len(ran(deployed)) == SAMPLES)
-    assert [read(one, "l1")[1]["results"] for one in (first, second)] == [[], []]
+    assert [read(entry, "l1")[1]["results"] for entry in (first, second)] == [[], []]
     deployed.rows.faults.down = False
-    pages = [read_all(one, "l1") for one in (first, second)]
+    pages = [read_all(entry, "l1") for entry in (first, second)]
     assert pages[0] == pages[1]
     check(deployed, pages[0])
     wait_for(lambda: held(deployed) == 0)
 
 
 @pytest.mark.parametrize("lost", [1, DISKS])
-def test_what_may_be_on_a_disk_is_not_called_refused(deployed, lost):
-    """503 promises that nothing runs, and a disk that has the Lot has it run."""
+def test_a_lot_that_may_be_on_a_disk_is_not_called_refused(deployed, lost):
+    """A 503 promises that the Lot does not run, but a disk that has it has it run."""
     entry = add_entry(deployed, "n1")
     deployed.rows.faults.down = True
     for disk in deployed.disks[:lost]:
@@ -188,7 +188,7 @@
 
 
 class ScriptedStore:
-    """A repository that answers as told."""
+    """A repository that returns a given outcome."""
 
     def __init__(self, outcome):
         self.outcome = outcome
@@ -198,6 +198,8 @@
 
 
 class ScriptedDisks:
+    """A `SubmissionStore` that returns a given result and records deletions."""
+
     def __init__(self, stored):
         self.stored = stored
         self.forgotten = []
@@ -222,7 +224,9 @@
         (InDoubt("lost"), Stored.IN_DOUBT, InDoubt("lost")),
     ],
 )
-def test_what_becomes_of_a_submission(kept, stored, accepted):
+def test_outcome_of_a_submission_by_the_answers_of_store_and_disks(
+    kept, stored, accepted
+):
     acceptance = LotAcceptance(ScriptedStore(kept), ScriptedDisks(stored))
     assert acceptance.accept(LOT, ME, SPOOLS) == accepted
 
@@ -233,40 +237,40 @@
 
 
 def make_head_writer(rows, disks):
-    told = []
+    notices = []
     head_writer = DeferredHeadWriter(
         LotRepository(rows, 1_000_000),
         disks,
         lambda: ME,
         lambda: [(LOT, SPOOLS)],
-        lambda lot_id, revision: told.append(("settled", revision)),
-        lambda lot_id: told.append(("given up",)),
+        lambda lot_id, revision: notices.append(("written", revision)),
+        lambda lot_id: notices.append(("other owner",)),
     )
-    return head_writer, told
+    return head_writer, notices
 
 
 @pytest.mark.parametrize(
     ("owner", "expected"),
     [
-        (None, [("settled", 1)]),
-        # An earlier write whose answer was lost.
-        (ME, [("settled", 1)]),
-        ("n2.bb", [("given up",)]),
-        (NO_OWNER, [("given up",)]),
+        (None, [("written", 1)]),
+        # An earlier write took effect, but its answer was lost.
+        (ME, [("written", 1)]),
+        ("n2.bb", [("other owner",)]),
+        (NO_OWNER, [("other owner",)]),
     ],
 )
-def test_the_store_says_whose_a_lot_is(rows, owner, expected):
+def test_the_head_row_decides_who_owns_a_deferred_lot(rows, owner, expected):
     repository = LotRepository(rows, 1_000_000)
     if owner is not None:
         assert repository.accept(LOT, owner, SPOOLS) == Kept(1)
     disks = ScriptedDisks(Stored.ALL)
-    head_writer, told = make_head_writer(rows, disks)
+    head_writer, notices = make_head_writer(rows, disks)
     rows.faults.down = True
     assert not head_writer.write_head(LOT, SPOOLS)
-    assert (told, disks.forgotten) == ([], [])
+    assert (notices, disks.forgotten) == ([], [])
     rows.faults.down = False
     assert head_writer.write_head(LOT, SPOOLS)
-    assert told == expected
+    assert notices == expected
     assert disks.forgotten == [LOT.id]
     assert repository.head(LOT.id).owner == (ME if owner is None else owner)
 
@@ -290,7 +294,7 @@
         return True
 
 
-def test_a_disk_has_a_lot_kept_that_nobody_else_does(rows, disk):
+def test_a_disk_writes_a_lot_to_the_store_after_the_grace_period(rows, disk):
     clock = ManualClock()
     repository = LotRepository(rows, 1_000_000)
     recovery = SubmissionRecovery(disk, repository, clock)
@@ -314,7 +318,7 @@
     assert disk.item_count == 0
 
 
-def test_a_disk_drops_what_the_store_has(rows, disk):
+def test_a_disk_deletes_a_lot_that_the_store_has(rows, disk):
     repository = LotRepository(rows, 1_000_000)
     SubmissionStore(DirectSpool(disk)).put(LOT, SPOOLS)
     repository.accept(LOT, ME, SPOOLS)
@@ -323,7 +327,7 @@
     assert repository.head(LOT.id).owner == ME
 
 
-def test_a_lot_that_is_too_large_goes_to_no_disk(disk):
+def test_a_lot_that_is_too_large_is_not_written_to_disks(disk):
     sample = replace(LOT.samples[0], body=b"x" * 7_000_000)
     store = SubmissionStore(DirectSpool(disk))
     assert store.put(replace(LOT, samples=(sample,)), SPOOLS) is Stored.NONE
