--- a/src/wigeonfront/api/lots.py
+++ b/src/wigeonfront/api/lots.py
@@ -82,7 +82,7 @@
             raise Refused(410, "already_delivered")
         lot = self._lot(id, body, route, configuration, admitted)
         outcome = self._lots.submit(lot)
-        if outcome == answers.Accepted(again=True) and self._lots.ended(id):
+        if outcome == answers.Accepted(already_kept=True) and self._lots.ended(id):
             raise Refused(410, "already_delivered")
         if isinstance(outcome, answers.LotRefused):
             raise Refused(503, "not_run", outcome.reason, RETRY_SECONDS)
--- a/src/wigeonfront/node/peer_calls.py
+++ b/src/wigeonfront/node/peer_calls.py
@@ -24,7 +24,7 @@
     ----------
     relay : RelayServer
     feed : FeedServer
-    owner : OwnerServer
+    owner : ResultServer
     submissions : SubmissionServer
     ends : EndServer
     loads : LoadServer
--- a/src/wigeonfront/rollout/lot_answers.py
+++ b/src/wigeonfront/rollout/lot_answers.py
@@ -11,11 +11,11 @@
 
     Attributes
     ----------
-    again : bool
+    already_kept : bool
         Whether the store had the Lot already, though this process did not know of it.
     """
 
-    again: bool = False
+    already_kept: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/wigeonfront/rollout/lots.py
+++ b/src/wigeonfront/rollout/lots.py
@@ -189,7 +189,7 @@
                 self._runner.adopt(lot, revision, InitialState(spools=spools))
             return Accepted()
         if isinstance(outcome, AlreadyKept):
-            return Accepted(again=True)
+            return Accepted(already_kept=True)
         if isinstance(outcome, InDoubt):
             return LotUncertain(outcome.reason)
         return LotRefused(outcome.reason)
--- a/tests/test_rollout_order.py
+++ b/tests/test_rollout_order.py
@@ -19,7 +19,7 @@
     texts_due,
     waiting_samples,
 )
-from wigeonfront.rollout.progress import LotProgress, LotTimes
+from wigeonfront.rollout.progress import LotProgress, SubmissionTimes
 from wigeonfront.targets.target import Target
 from wigeonfront.targets.views import TargetView
 
@@ -41,7 +41,7 @@
         due_seconds=7.5,
         **fields,
     )
-    return LotProgress(lot, 1, [], LotTimes(submitted, submitted))
+    return LotProgress(lot, 1, [], SubmissionTimes(submitted, submitted))
 
 
 def engine(id, in_flight=0, others=0, version=None, latency=0.0, **fields):
