--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -187,9 +187,9 @@
         "rollout/result_writer.py",
         (
             (
-                "                self._failed = progress.lot.id\n"
+                "                self._failed_lot_id = progress.lot.id\n"
                 "                return False\n",
-                "                self._failed = progress.lot.id\n",
+                "                self._failed_lot_id = progress.lot.id\n",
             ),
         ),
     ),
--- a/src/wigeonfront/rollout/result_writer.py
+++ b/src/wigeonfront/rollout/result_writer.py
@@ -69,7 +69,7 @@
         self._changed = changed
         self._clock = clock
         self._batches = batches
-        self._failed = ""
+        self._failed_lot_id = ""
 
     def run(self, stop: threading.Event) -> None:
         """Write results and texts when they are due (a supervisor's task)."""
@@ -105,11 +105,12 @@
         """
         # The Lot whose write failed last comes last, so that it can't delay the others.
         due = sorted(
-            self._due_lots(), key=lambda progress: progress.lot.id == self._failed
+            self._due_lots(),
+            key=lambda progress: progress.lot.id == self._failed_lot_id,
         )
         for progress in due:
             if isinstance(self._write(progress), NotKept | InDoubt):
-                self._failed = progress.lot.id
+                self._failed_lot_id = progress.lot.id
                 return False
         return True
 
--- a/src/wigeonfront/rollout/spooling.py
+++ b/src/wigeonfront/rollout/spooling.py
@@ -31,8 +31,8 @@
 """Pause after a disk has not accepted results."""
 
 GIVE_UP_SECONDS = 10.0
-"""Time for which the next owner of a Lot looks for a disk that answers. After it all
-disks count as lost, which are more losses than the deployment tolerates."""
+"""Time for which the next owner of a Lot looks for a disk that answers. After that all
+disks count as lost, which is more than the deployment tolerates."""
 
 
 def choose_members(
