--- a/src/wigeonfront/rollout/runner.py
+++ b/src/wigeonfront/rollout/runner.py
@@ -19,7 +19,6 @@
 from wigeonfront.rollout.after_run import GiveUp, TextWhole, outcome_of, settle
 from wigeonfront.rollout.events import Text
 from wigeonfront.rollout.initial_state import EMPTY_STATE, InitialState, create_progress
-from wigeonfront.rollout.result_writer import ResultWriter
 from wigeonfront.rollout.lot import Lot, SampleResult
 from wigeonfront.rollout.order import (
     SNAPSHOT_EVENTS,
@@ -33,6 +32,7 @@
 from wigeonfront.rollout.progress import LotProgress, SampleState
 from wigeonfront.rollout.recent_texts import RecentTexts
 from wigeonfront.rollout.repository import LotRepository
+from wigeonfront.rollout.result_writer import ResultWriter
 from wigeonfront.rollout.reward_call import RewardCaller
 from wigeonfront.rollout.run import Run
 from wigeonfront.rollout.run_log import RunLog
@@ -161,7 +161,9 @@
 
     # --- Lots come and go ----------------------------------------------------
 
-    def adopt(self, lot: Lot, head_revision: int, left: InitialState = EMPTY_STATE) -> None:
+    def adopt(
+        self, lot: Lot, head_revision: int, left: InitialState = EMPTY_STATE
+    ) -> None:
         """Begin to run a Lot that this process owns; a second time changes nothing."""
         now = self._clock.monotonic()
         with self._lock:
--- a/src/wigeonfront/rollout/spooling.py
+++ b/src/wigeonfront/rollout/spooling.py
@@ -57,9 +57,7 @@
         domain_counts[member.failure_domain] = rounds[-1] + 1
     chosen = [
         member
-        for _, _, member in sorted(
-            zip(rounds, range(len(ranked)), ranked, strict=True)
-        )
+        for _, _, member in sorted(zip(rounds, range(len(ranked)), ranked, strict=True))
     ]
     if len(chosen) < count:
         return ()
--- a/tests/test_lot_ownership.py
+++ b/tests/test_lot_ownership.py
@@ -12,8 +12,8 @@
     OWNER_GRACE_SECONDS,
     claim_delay,
     claimable_lots,
-    preferred_owner,
     is_surely_owned,
+    preferred_owner,
 )
 from wigeonfront.rollout.progress import LotProgress
 
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -277,7 +277,9 @@
     runner = make_runner(ScriptedRuns(), {"a": 1})
     repository = runner.result_writer._repository = KeptAt()
     stop = threading.Event()
-    thread = threading.Thread(target=runner.result_writer.run, args=(stop,), daemon=True)
+    thread = threading.Thread(
+        target=runner.result_writer.run, args=(stop,), daemon=True
+    )
     thread.start()
     wait_for(lambda: runner._results._waiters)
     lot = Lot("l1", "h", "/", (Sample("s1", "/x", (), b""),))
--- a/tests/test_result_writer.py
+++ b/tests/test_result_writer.py
@@ -9,11 +9,11 @@
 from wigeonfront.clock import ManualClock
 from wigeonfront.observability.metrics import Registry
 from wigeonfront.rollout.events import Text
-from wigeonfront.rollout.result_writer import BATCH_BYTES, ResultWriter
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
 from wigeonfront.rollout.order import TEXT_SECONDS
 from wigeonfront.rollout.progress import LotProgress
 from wigeonfront.rollout.repository import InDoubt, Kept, NotKept
+from wigeonfront.rollout.result_writer import BATCH_BYTES, ResultWriter
 
 
 class Repository:
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -22,8 +22,8 @@
     NotKept,
 )
 from wigeonfront.rollout.submissions import (
-    KEY_PREFIX,
     ENTRY_GRACE_SECONDS,
+    KEY_PREFIX,
     DeferredHeadWriter,
     Stored,
     SubmissionRecovery,
