--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -178,15 +178,15 @@
     _mutation(
         "a leaving entry owns new Lots",
         "rollout/ownership.py",
-        "if one.failure_domain == failure_domain and not one.leaving",
-        "if one.failure_domain == failure_domain",
+        "if member.failure_domain == failure_domain and not member.leaving",
+        "if member.failure_domain == failure_domain",
         "test_lot_ownership.py",
     ),
     _mutation(
         "small entries own new Lots",
         "rollout/ownership.py",
-        "if one.cores >= LEAST_CORES_SHARE * most}",
-        "if True}",
+        "if member.cores >= MIN_CORES_SHARE * max_cores",
+        "if True",
         "test_lot_ownership.py",
     ),
     _mutation(
@@ -382,7 +382,7 @@
     _mutation(
         "a Lot is ended without what is on the spool alone",
         "rollout/lots.py",
-        "        if progress.owed <= len(progress.kept):",
+        "        if progress.possibly_shown <= len(progress.kept):",
         "        if True:",
         "test_spooling.py",
     ),
@@ -396,8 +396,8 @@
     _mutation(
         "a Lot is run here again under one revision",
         "rollout/takeover.py",
-        "again = self._runner.has_run(lot_id, revision)",
-        "again = False",
+        "ran_before = self._runner.has_run(lot_id, revision)",
+        "ran_before = False",
         "test_spooling.py",
     ),
     _mutation(
@@ -412,7 +412,7 @@
         "rollout/progress.py",
         "        if position == len(self.kept):",
         "        if True:",
-        "test_result_keeper.py",
+        "test_result_writer.py",
     ),
     _mutation(
         "what is given up is closed as if it were whole",
@@ -642,7 +642,7 @@
     _mutation(
         "a disk that is not registered has no Lots",
         "rollout/pending.py",
-        "if seen.absent and seen.followed_for < LONGEST_ABSENCE_SECONDS:",
+        "if disks.absent and disks.followed_for < LONGEST_ABSENCE_SECONDS:",
         "if False:",
         "test_pending.py",
         "test_submissions.py",
@@ -650,14 +650,14 @@
     _mutation(
         "results without an answer are read nowhere",
         "rollout/progress.py",
-        "return max(self.possibly_kept, self.owed)",
-        "return self.owed",
+        "return max(self.possibly_kept, self.possibly_shown)",
+        "return self.possibly_shown",
         "test_results_in_doubt.py",
     ),
     _mutation(
         "what the last owner showed was read nowhere",
         "rollout/progress.py",
-        "return max(self.possibly_kept, self.owed)",
+        "return max(self.possibly_kept, self.possibly_shown)",
         "return self.possibly_kept",
         "test_spooling.py",
     ),
--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -172,7 +172,7 @@
     Mechanism(
         "second sends of reward calls",
         "rollout/progress.py",
-        (("MOST_SENDS = 2", "MOST_SENDS = 1"),),
+        (("MAX_SENDS = 2", "MAX_SENDS = 1"),),
     ),
     Mechanism(
         "claims at once",
@@ -186,12 +186,12 @@
     ),
     Mechanism(
         "one Lot that asks for all",
-        "rollout/keeping.py",
+        "rollout/result_writer.py",
         (
             (
-                "                self._failed = progress.lot.id\n"
+                "                self._failed_lot_id = progress.lot.id\n"
                 "                return False\n",
-                "                self._failed = progress.lot.id\n",
+                "                self._failed_lot_id = progress.lot.id\n",
             ),
         ),
     ),
@@ -203,7 +203,7 @@
     Mechanism(
         "one owner for each trainer",
         "rollout/ownership.py",
-        (("    return fit[name] if name else None", "    return None"),),
+        (("    return eligible[name] if name else None", "    return None"),),
     ),
     Mechanism(
         "long leases of idle entries",
--- a/src/wigeonfront/rollout/after_run.py
+++ b/src/wigeonfront/rollout/after_run.py
@@ -81,7 +81,7 @@
 def _(outcome: RunCompleted, run: Run, table: TargetTable, now: float) -> NextStep:
     if _fits(run):
         return TextWhole()
-    run.state.forget_text()
+    run.state.discard_text()
     return Requeue()
 
 
@@ -120,7 +120,7 @@
     table.saw_version(run.target_id, run.state.sample.model, outcome.version)
     # A text that another engine can continue is kept; see `SamplePlacer`.
     if not _fits(run):
-        run.state.forget_text()
+        run.state.discard_text()
     return Requeue()
 
 
--- a/src/wigeonfront/rollout/keeping.py
+++ b/src/wigeonfront/rollout/result_writer.py
@@ -1,4 +1,4 @@
-"""Keeps what owned Lots have generated: finished results, and texts of long runs."""
+"""Writes what owned Lots have generated to the store: results and unfinished texts."""
 
 import logging
 import threading
@@ -19,22 +19,23 @@
 
 logger = logging.getLogger(__name__)
 
-KEEP_WAIT_SECONDS = 0.05
-"""Pause of the keeping thread while results wait for their batch."""
+BATCH_WAIT_SECONDS = 0.05
+"""Longest sleep of the writing thread while results wait for their batch."""
 
 IDLE_WAIT_SECONDS = 0.5
-"""Longest sleep of the keeping thread; a finished sample wakes it."""
+"""Longest sleep of the writing thread otherwise; a finished sample wakes it."""
 
 STORE_RETRY_SECONDS = 0.3
-"""Pause after the store did not take a batch; one Lot asks, whatever the number."""
+"""Pause after the store has not accepted a batch. Only one Lot's batch is tried per
+pause, however many Lots there are."""
 
 BATCH_BYTES = 500_000
-"""Text in one row of results: under the store's limit for a value, also as base64."""
+"""Text in one row of results: below the store's limit of a value, also as base64."""
 
-KeepOutcome = Kept | OwnerReplaced | NotKept | InDoubt
+WriteOutcome = Kept | OwnerReplaced | NotKept | InDoubt
 
 
-class ResultKeeper:
+class ResultWriter:
     """Writes batches of results and the texts of runs in progress.
 
     Parameters
@@ -43,9 +44,11 @@
     lots : callable
         Returns the owned Lots; called with the lock of `changed` held.
     stop_lot : callable
-        Gives up a Lot that has another owner, with the reason.
+        Called with the id of a Lot that has another owner and the reason for stopping
+        it.
     changed : threading.Condition
-        Guards the progress of Lots, and is notified when a result is kept or waits.
+        Guards the progress of Lots. It is notified when a result is added and when one
+        is written.
     clock : Clock
     batches : wigeonfront.observability.metrics.Counter
         Counts writes by outcome.
@@ -66,56 +69,63 @@
         self._changed = changed
         self._clock = clock
         self._batches = batches
-        self._failed = ""
+        self._failed_lot_id = ""
 
     def run(self, stop: threading.Event) -> None:
-        """Keep what is due (a supervisor's task)."""
+        """Write results and texts when they are due (a supervisor's task)."""
         while not stop.is_set():
-            if not self._keep_due():
+            if not self._write_due():
                 stop.wait(STORE_RETRY_SECONDS)
                 continue
             with self._changed:
-                unkept = any(one.unkept or one.in_doubt for one in self._lots())
-                self._changed.wait(KEEP_WAIT_SECONDS if unkept else IDLE_WAIT_SECONDS)
+                unkept = any(
+                    progress.unkept or progress.in_doubt for progress in self._lots()
+                )
+                self._changed.wait(BATCH_WAIT_SECONDS if unkept else IDLE_WAIT_SECONDS)
 
-    def keep_rest(self, progress: LotProgress) -> KeepOutcome:
-        """Keep all finished results of a Lot that is no longer run here.
+    def write_remaining(self, progress: LotProgress) -> WriteOutcome:
+        """Write all results of a Lot that this process no longer runs.
 
-        A batch that `run` is writing at the same moment is written twice, which is
-        harmless: it takes effect once.
+        A batch that `run` writes at the same time is written twice. This is harmless,
+        as the write is idempotent.
         """
         while progress.unkept or progress.in_doubt:
-            outcome = self._keep(progress)
+            outcome = self._write(progress)
             if not isinstance(outcome, Kept):
                 return outcome
         return Kept(progress.head_revision)
 
-    def _keep_due(self) -> bool:
-        """Keep what is due; return ``False`` once the store takes no part.
+    def _write_due(self) -> bool:
+        """Write what is due; return ``False`` after the first failed write.
 
-        One Lot finds out whether the store is back: each call that is not answered
-        takes a second, and with three Lots one after the other a store that was back
-        kept nothing for up to 3 s, which a loss of power then took.
+        A single Lot's write tests whether the store is available again, since each
+        unanswered call takes a second. When three Lots were tried one after the other,
+        a store that was available again received nothing for up to 3 s, and a loss of
+        power then destroyed these results.
         """
-        # The one that failed last goes last, so that it can't hold up the others.
-        due = sorted(self._due(), key=lambda one: one.lot.id == self._failed)
+        # The Lot whose write failed last comes last, so that it can't delay the others.
+        due = sorted(
+            self._due_lots(),
+            key=lambda progress: progress.lot.id == self._failed_lot_id,
+        )
         for progress in due:
-            if isinstance(self._keep(progress), NotKept | InDoubt):
-                self._failed = progress.lot.id
+            if isinstance(self._write(progress), NotKept | InDoubt):
+                self._failed_lot_id = progress.lot.id
                 return False
         return True
 
-    def _due(self) -> list[LotProgress]:
+    def _due_lots(self) -> list[LotProgress]:
         now = self._clock.monotonic()
         with self._changed:
             return [
-                one
-                for one in self._lots()
-                if not one.deferred and (batch_due(one, now) or texts_due(one, now))
+                progress
+                for progress in self._lots()
+                if not progress.deferred
+                and (batch_due(progress, now) or texts_due(progress, now))
             ]
 
-    def _keep(self, progress: LotProgress) -> KeepOutcome:
-        """Keep one batch, with the texts of the runs that go on."""
+    def _write(self, progress: LotProgress) -> WriteOutcome:
+        """Write one batch of results together with the texts of unfinished samples."""
         lot_id = progress.lot.id
         with self._changed:
             batch = progress.begin_batch(BATCH_BYTES)
@@ -141,7 +151,7 @@
         )
         with self._changed:
             if isinstance(outcome, Kept):
-                # What was too much for the row counts as kept until it has grown.
+                # Texts that were too long for the row count as saved until they grow.
                 progress.batch_kept(position, texts)
                 progress.writing_since = None
                 progress.flushed_at = self._clock.monotonic()
--- a/src/wigeonfront/rollout/runner.py
+++ b/src/wigeonfront/rollout/runner.py
@@ -1,6 +1,6 @@
 """Runs the Lots that this process owns.
 
-One thread sends waiting samples, one writes results to the store (`ResultKeeper`), one
+One thread sends waiting samples, one writes results to the store (`ResultWriter`), one
 writes results to the spool while the store does not take them (`ResultSpooler`), and
 one sends reward calls (`Scoring`). Each run and each reward call has a thread of its
 own. All share the `LotProgress` objects, which the lock of `LotRunner` guards.
@@ -18,8 +18,7 @@
 from wigeonfront.observability.metrics import Registry
 from wigeonfront.rollout.after_run import GiveUp, TextWhole, next_step, outcome_of
 from wigeonfront.rollout.events import Text
-from wigeonfront.rollout.inheritance import NOTHING, Inheritance, begin_progress
-from wigeonfront.rollout.keeping import ResultKeeper
+from wigeonfront.rollout.initial_state import EMPTY_STATE, InitialState, create_progress
 from wigeonfront.rollout.lot import Lot, SampleResult
 from wigeonfront.rollout.owner_calls import OwnedResults, ResultsInDoubt
 from wigeonfront.rollout.picking import Picker
@@ -27,6 +26,7 @@
 from wigeonfront.rollout.progress import LotProgress, SampleState
 from wigeonfront.rollout.recent_texts import RecentTexts
 from wigeonfront.rollout.repository import LotRepository
+from wigeonfront.rollout.result_writer import ResultWriter
 from wigeonfront.rollout.reward_call import RewardCaller
 from wigeonfront.rollout.run import Run
 from wigeonfront.rollout.run_log import RunLog
@@ -93,7 +93,7 @@
 
     Attributes
     ----------
-    keeper : ResultKeeper
+    result_writer : ResultWriter
         Writes what the runs generate to the store.
     spooler : ResultSpooler
         Writes results to disks while the store does not take them.
@@ -133,7 +133,7 @@
         self._run_revisions: dict[str, int] = {}
         self._recent = RecentTexts()
         self._log = RunLog(metrics)
-        self.keeper = ResultKeeper(
+        self.result_writer = ResultWriter(
             repository,
             lambda: list(self._lots.values()),
             self.stop_lot,
@@ -164,7 +164,9 @@
 
     # --- Start and end of Lots -----------------------------------------------
 
-    def adopt(self, lot: Lot, head_revision: int, left: Inheritance = NOTHING) -> None:
+    def adopt(
+        self, lot: Lot, head_revision: int, left: InitialState = EMPTY_STATE
+    ) -> None:
         """Begin to run a Lot that this process owns.
 
         The call has no effect if the Lot is known under this or a later revision.
@@ -182,10 +184,10 @@
             known = self._lots.get(lot.id)
             if known is not None and known.head_revision >= head_revision:
                 return
-            progress = begin_progress(
+            progress = create_progress(
                 lot, head_revision, left, self._recent, now, self._clock.time()
             )
-            progress.present_since = self._presence().since_revision
+            progress.presence_revision = self._presence().since_revision
             self._lots[lot.id] = progress
             self._run_revisions[lot.id] = head_revision
             whole = [state for state in progress.open.values() if state.text.whole]
@@ -309,7 +311,7 @@
                 if progress is None:
                     return None
                 total = len(progress.lot.samples)
-                shown = progress.shown
+                shown = progress.durable
                 doubtful = len(shown) <= after < progress.possibly_read
                 until = doubt_deadline if doubtful else deadline
                 remaining = until - self._clock.monotonic()
@@ -437,7 +439,7 @@
                 del self._runs[run.key]
             state.running = False
             if events:
-                state.waits_since = self._clock.monotonic()
+                state.waiting_since = self._clock.monotonic()
             if not isinstance(outcome, RunCancelled) and not run.progress.ended:
                 self._settle(run, outcome)
             self._work.notify_all()
@@ -455,7 +457,7 @@
         if state.sample.reward_call is None:
             self._finish(progress, completed(state), "completed")
             return
-        state.text_ended(self._clock.monotonic())
+        state.mark_text_whole(self._clock.monotonic())
         self.scoring.wake()
 
     def _finish(self, progress: LotProgress, result: SampleResult, reason: str) -> None:
--- a/src/wigeonfront/rollout/takeover.py
+++ b/src/wigeonfront/rollout/takeover.py
@@ -1,4 +1,4 @@
-"""Takes over Lots whose owner is gone, and gives up those that others have taken."""
+"""Takes over Lots whose owner is gone, and stops Lots that now have another owner."""
 
 import logging
 import threading
@@ -10,7 +10,7 @@
 from wigeonfront.coordination.mirror import Mirror
 from wigeonfront.observability.logs import event
 from wigeonfront.rollout.head import Head, LotState
-from wigeonfront.rollout.inheritance import Inheritance
+from wigeonfront.rollout.initial_state import InitialState
 from wigeonfront.rollout.known_lots import KnownLots
 from wigeonfront.rollout.lot import Lot
 from wigeonfront.rollout.ownership import OWNER_GRACE_SECONDS, claimable_lots
@@ -22,10 +22,11 @@
 logger = logging.getLogger(__name__)
 
 CLAIM_PAUSE_SECONDS = 0.2
+"""Longest pause between two checks for Lots to claim."""
 
 
 class LotTakeover:
-    """Looks which Lots this process is to own.
+    """Claims the Lots that this process should own, and runs them.
 
     Parameters
     ----------
@@ -34,11 +35,11 @@
     known : KnownLots
     spools : LotSpools
     mirror : Mirror
-        Of the rows that tell owners and members.
+        Mirror of the rows that name the owners and the members.
     me : callable
         Returns this process as a member.
     members : callable
-        Returns the members that are registered.
+        Returns the registered members.
     on_start : callable
         Called before a Lot's first samples are sent.
     clock : Clock
@@ -46,7 +47,7 @@
     Attributes
     ----------
     leaving : bool
-        No more Lots are taken over.
+        Whether this process takes over no more Lots.
     """
 
     def __init__(
@@ -71,13 +72,13 @@
         self._on_start = on_start
         self._clock = clock
         self._missing_since: dict[str, float] = {}
-        # Monotonic time at which each Lot was first heard of.
-        self._heard_at: dict[str, float] = {}
+        # Monotonic time at which the mirror first showed each Lot, by the Lot's id.
+        self._first_heard_at: dict[str, float] = {}
         self._changed = threading.Event()
         self.leaving = False
 
-    def look(self) -> None:
-        """Look at once whether a Lot is to be taken over."""
+    def wake(self) -> None:
+        """Check at once whether Lots have to be taken over."""
         self._changed.set()
 
     def run(self, stop: threading.Event) -> None:
@@ -86,18 +87,20 @@
             self._changed.wait(CLAIM_PAUSE_SECONDS)
             self._changed.clear()
             heads = self._known.heads()
-            self._note_heard(heads)
+            self._note_first_heard(heads)
             if not self._mirror.ready or self._mirror.failing or self.leaving:
                 continue
-            self._drop_lost(heads)
+            self._stop_lost(heads)
             for lot_id in self._claimable(heads):
                 self.claim(lot_id, heads[lot_id])
 
-    def _note_heard(self, heads: Collection[str]) -> None:
+    def _note_first_heard(self, heads: Collection[str]) -> None:
         now = self._clock.monotonic()
-        self._heard_at = {id: self._heard_at.get(id, now) for id in heads}
+        self._first_heard_at = {
+            lot_id: self._first_heard_at.get(lot_id, now) for lot_id in heads
+        }
 
-    def _drop_lost(self, heads: dict[str, Head]) -> None:
+    def _stop_lost(self, heads: dict[str, Head]) -> None:
         """Stop the Lots that another process has ended or taken over."""
         for lot_id in self._runner.owned_ids():
             head = heads.get(lot_id)
@@ -129,16 +132,23 @@
         )
 
     def claim(self, lot_id: str, head: Head) -> bool:
-        """Own a Lot whose head row is as `head`; return whether it is run here."""
+        """Claim and run a Lot if its head row is unchanged since `head`.
+
+        Returns
+        -------
+        bool
+            Whether this process runs the Lot.
+        """
         current = self._repository.head(lot_id)
         if not isinstance(current, Head) or current.revision != head.revision:
             return False
         if self._runner.owned(lot_id) is not None:
             return True
         revision = head.revision
-        # What an earlier life of the Lot here has under way must not count any more.
-        again = self._runner.has_run(lot_id, revision)
-        if again or head.owner != self._me().incarnation:
+        # If this process ran the Lot under this revision, its writes may still be in
+        # flight. A new revision has them rejected.
+        ran_before = self._runner.has_run(lot_id, revision)
+        if ran_before or head.owner != self._me().incarnation:
             outcome = self._repository.claim(lot_id, head, self._me().incarnation)
             event(
                 logger,
@@ -153,7 +163,7 @@
         return self._adopt(lot_id, replace(head, revision=revision))
 
     def _adopt(self, lot_id: str, head: Head) -> bool:
-        """Run a Lot that this process owns, from what the last owner has left."""
+        """Run a Lot that this process owns, from the state that the last owner left."""
         lot = self._known.load(lot_id)
         results = self._repository.results(lot_id, 0)
         if not isinstance(lot, Lot) or not isinstance(results, list):
@@ -172,8 +182,8 @@
             texts=len(texts),
         )
         now = self._clock.monotonic()
-        known_for = now - self._heard_at.get(lot_id, now)
+        known_for = now - self._first_heard_at.get(lot_id, now)
         self._on_start()
-        left = Inheritance(results, spooled, head.spools, texts, known_for)
-        self._runner.adopt(lot, head.revision, left)
+        initial = InitialState(results, spooled, head.spools, texts, known_for)
+        self._runner.adopt(lot, head.revision, initial)
         return True
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -16,9 +16,9 @@
     ServiceShare,
 )
 from wigeonfront.observability.metrics import Registry
-from wigeonfront.rollout import keeping
+from wigeonfront.rollout import result_writer
 from wigeonfront.rollout.events import StreamEvent, Text
-from wigeonfront.rollout.inheritance import Inheritance
+from wigeonfront.rollout.initial_state import InitialState
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
 from wigeonfront.rollout.placement import SamplePlacer
 from wigeonfront.rollout.progress import LotProgress
@@ -128,7 +128,7 @@
     progress = LotProgress(LOT, 1, [])
     state = progress.open["s1"]
     state.text = Text([b"x"] * events, {4})
-    state.waits_since = clock.monotonic()
+    state.waiting_since = clock.monotonic()
     clock.advance(waited)
     placer = SamplePlacer(table, lambda: None, clock)
     view = placer.place(OpenSample(progress, state), "s", frozenset())
@@ -274,15 +274,17 @@
 
 def test_results_from_a_disk_are_written_as_soon_as_a_lot_is_adopted(monkeypatch):
     """Until then they can't be shown, although the last owner has shown them."""
-    monkeypatch.setattr(keeping, "IDLE_WAIT_SECONDS", 60.0)
+    monkeypatch.setattr(result_writer, "IDLE_WAIT_SECONDS", 60.0)
     runner = make_runner(ScriptedRuns(), {"a": 1})
-    repository = runner.keeper._repository = RecordingRepository()
+    repository = runner.result_writer._repository = RecordingRepository()
     stop = threading.Event()
-    thread = threading.Thread(target=runner.keeper.run, args=(stop,), daemon=True)
+    thread = threading.Thread(
+        target=runner.result_writer.run, args=(stop,), daemon=True
+    )
     thread.start()
     wait_for(lambda: runner._results._waiters)
     lot = Lot("l1", "h", "/", (Sample("s1", "/x", (), b""),))
-    runner.adopt(lot, 7, Inheritance(spooled=(SampleResult("s1", True),)))
+    runner.adopt(lot, 7, InitialState(spooled=(SampleResult("s1", True),)))
     wait_for(lambda: repository.batches)
     assert repository.batches == [("l1", 0, ["s1"])]
     stop.set()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -32,7 +32,7 @@
     ranks_in_overload,
     seconds_left,
 )
-from wigeonfront.rollout.progress import LotProgress, LotTimes
+from wigeonfront.rollout.progress import LotProgress, SubmissionTimes
 from wigeonfront.rollout.scheduling import (
     TOKEN_SECONDS,
     expected_seconds,
@@ -82,7 +82,7 @@
         due_seconds=7.5,
     )
     return Step(
-        trainer, number, now, LotProgress(lot, 1, [], LotTimes(now, now)), tokens
+        trainer, number, now, LotProgress(lot, 1, [], SubmissionTimes(now, now)), tokens
     )
 
 
@@ -191,7 +191,7 @@
         for n in range(size)
     )
     lot = Lot("l", "h", "/", samples, target_groups=wanted, due_seconds=due)
-    return LotProgress(lot, 1, [], LotTimes())
+    return LotProgress(lot, 1, [], SubmissionTimes())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_reward_scheduling.py
+++ b/tests/test_reward_scheduling.py
@@ -47,7 +47,7 @@
             progress.finish(SampleResult(item.id, True))
         elif since is not None:
             state.text = Text([b"x"], {1})
-            state.text_ended(since)
+            state.mark_text_whole(since)
     return progress
 
 
