--- a/src/wigeonfront/rollout/initial_state.py
+++ b/src/wigeonfront/rollout/initial_state.py
@@ -67,7 +67,7 @@
         progress.finish(result)
     progress.possibly_shown = len(progress.results)
     for sample_id, state in progress.open.items():
-        text = recent.take(lot.account, sample_id) or initial.texts.get(sample_id)
+        text = recent.pop(lot.account, sample_id) or initial.texts.get(sample_id)
         state.waiting_since = now
         if text is not None and text.fits(lot.min_version, lot.single_version):
             state.text = text
