--- a/src/wigeonfront/forwarding/forwarder.py
+++ b/src/wigeonfront/forwarding/forwarder.py
@@ -164,7 +164,7 @@
         """
         target = view.target
         started = self._clock.monotonic()
-        self._table.started(target.id)
+        self._table.record_started(target.id)
         note = self._starts.note(request.account)
         outcome: Outcome = TimedOut()
         try:
@@ -182,13 +182,13 @@
         finally:
             seconds = self._clock.monotonic() - started
             answered = isinstance(outcome, Answered)
-            self._table.ended(
+            self._table.record_ended(
                 target.id, health_evidence(outcome), seconds if answered else 0.0
             )
         if isinstance(outcome, NotExecuted):
             note.withdraw()
         if isinstance(outcome, NotExecuted) and outcome.replaced:
-            self._table.replaced(target.id)
+            self._table.record_replaced(target.id)
         name = type(outcome).__name__
         self._sends.increment(service=target.service, outcome=name)
         self._seconds.observe(seconds, service=target.service)
--- a/src/wigeonfront/forwarding/streams.py
+++ b/src/wigeonfront/forwarding/streams.py
@@ -204,12 +204,12 @@
     ) -> tuple[StreamEnd, int]:
         """Send to one target; return how it went and the last event passed on."""
         target = view.target
-        self._table.started(target.id)
+        self._table.record_started(target.id)
         opened = self._exchange.open(request, target, due, call.socket)
         if not isinstance(opened, OpenCall):
-            self._table.ended(target.id, health_evidence(opened))
+            self._table.record_ended(target.id, health_evidence(opened))
             if isinstance(opened, NotExecuted) and opened.replaced:
-                self._table.replaced(target.id)
+                self._table.record_replaced(target.id)
             event(
                 logger,
                 "stream_send",
@@ -229,7 +229,7 @@
             call.begin(OK, self._protocol.response_headers(opened.headers))
         ended, last_id = self._pass_events(opened, call, last_id, due, start)
         evidence = "success" if ended is StreamEnd.DONE else "failure"
-        self._table.ended(target.id, evidence)
+        self._table.record_ended(target.id, evidence)
         event(
             logger,
             "stream_send",
@@ -248,10 +248,10 @@
             opened.finish()
         except (HTTPError, OSError, http.client.HTTPException):
             opened.close()
-            self._table.ended(target_id, "failure")
+            self._table.record_ended(target_id, "failure")
             return StreamEnd.BROKEN
         bad = opened.status >= SERVER_ERROR
-        self._table.ended(target_id, "failure" if bad else "success")
+        self._table.record_ended(target_id, "failure" if bad else "success")
         if call.began:
             return StreamEnd.BROKEN
         call.reply(opened.status, body, self._protocol.response_headers(opened.headers))
--- a/src/wigeonfront/node/following.py
+++ b/src/wigeonfront/node/following.py
@@ -181,7 +181,7 @@
             gone = replaced_targets(self._known.values(), registered.values())
             self._known = {**kept, **registered}
             targets = list(self._known.values())
-        self._table.replace(targets)
+        self._table.set_targets(targets)
         for id in gone:
             event(logger, "target_restarted", id=id)
             self._on_gone(id)
@@ -249,10 +249,10 @@
         changed = [one for id, one in registered.items() if self._known.get(id) != one]
         gone = [id for id in self._known if id not in registered]
         for target in changed:
-            if self._table.used(target.id):
+            if self._table.was_used(target.id):
                 _log_target(target)
         for id in gone:
-            if self._table.used(id):
+            if self._table.was_used(id):
                 event(logger, "target_gone", id=id)
         come = sum(one.id not in self._known for one in changed)
         if come or gone:
--- a/src/wigeonfront/rollout/after_run.py
+++ b/src/wigeonfront/rollout/after_run.py
@@ -107,15 +107,15 @@
 @settle.register
 def _(outcome: RunRefused, run: Run, table: TargetTable, now: float) -> NextStep:
     if outcome.replaced:
-        table.replaced(run.target_id)
+        table.record_replaced(run.target_id)
     elif outcome.reached:
-        table.refused(run.target_id, run.state.sample.model)
+        table.record_refused(run.target_id, run.state.sample.model)
     return RunAgain()
 
 
 @settle.register
 def _(outcome: RunTooOld, run: Run, table: TargetTable, now: float) -> NextStep:
-    table.saw_version(run.target_id, run.state.sample.model, outcome.version)
+    table.record_version(run.target_id, run.state.sample.model, outcome.version)
     # What another engine can go on from is kept; see `SamplePlacer`.
     if not _fits(run):
         run.state.forget_text()
--- a/src/wigeonfront/rollout/runner.py
+++ b/src/wigeonfront/rollout/runner.py
@@ -325,7 +325,7 @@
         patience = first_event_wait(view, state.silent_runs)
         run = Run(waiting.progress, state, view, RunHandle(patience))
         self._runs[run.key] = run
-        self._table.started(view.target.id, state.sample.model)
+        self._table.record_started(view.target.id, state.sample.model)
         self._log.sent(run)
         threading.Thread(
             target=self._run, args=(run,), name="sample-run", daemon=True
@@ -371,12 +371,12 @@
         if state.text.last_id - state.snapshot_id >= SNAPSHOT_EVENTS:
             state.snapshot = state.text.copy()
         if not run.events:
-            self._table.accepted(run.target_id, state.sample.model)
-            self._table.saw_version(run.target_id, state.sample.model, version)
+            self._table.record_accepted(run.target_id, state.sample.model)
+            self._table.record_version(run.target_id, state.sample.model, version)
         pace = run.note_event(now)
         if pace is None:
             return
-        self._table.paced(run.target_id, pace)
+        self._table.record_pace(run.target_id, pace)
         running = Waiting(run.progress, run.state)
         if run.handle.moved or not self._placer.should_move(running, run.view, pace):
             return
@@ -390,7 +390,7 @@
         state = run.state
         outcome = outcome_of(run, outcome)
         state.silent_runs += isinstance(outcome, RunSilent)
-        self._table.ended(run.target_id, evidence(outcome))
+        self._table.record_ended(run.target_id, evidence(outcome))
         self._log.ended(run, outcome, seconds, events)
         with self._lock:
             if isinstance(outcome, RunCompleted) and events == state.text.last_id:
--- a/src/wigeonfront/targets/table.py
+++ b/src/wigeonfront/targets/table.py
@@ -116,7 +116,7 @@
         self._circuits: dict[str, Circuits] = {}
         self._other_owners = 0
 
-    def replace(self, targets: Iterable[Target]) -> None:
+    def set_targets(self, targets: Iterable[Target]) -> None:
         """Take `targets` as all that there are."""
         with self._lock:
             fresh = {target.id: target for target in targets}
@@ -163,7 +163,7 @@
         with self._lock:
             return [state.target for state in self._states.values()]
 
-    def used(self, id: str) -> bool:
+    def was_used(self, id: str) -> bool:
         """Tell whether a request of this process went to the target."""
         with self._lock:
             state = self._states.get(id)
@@ -175,7 +175,7 @@
             state = self._states.get(id)
             return state.target if state else None
 
-    def started(self, id: str, model: str = "") -> None:
+    def record_started(self, id: str, model: str = "") -> None:
         """Note that a request goes to the target.
 
         Parameters
@@ -206,7 +206,7 @@
             )
         self._log(change)
 
-    def ended(self, id: str, found: Evidence, latency: float = 0.0) -> None:
+    def record_ended(self, id: str, found: Evidence, latency: float = 0.0) -> None:
         """Note how a request to the target ended.
 
         Parameters
@@ -226,7 +226,7 @@
             change = self._circuits_of(state.target.service).note(id, found)
         self._log(change)
 
-    def paced(self, id: str, latency: float) -> None:
+    def record_pace(self, id: str, latency: float) -> None:
         """Take the pace of a run in progress as the target's latency."""
         with self._lock:
             state = self._states.get(id)
@@ -259,7 +259,7 @@
             ]
         return [state for state in found if state.runs or state.pace]
 
-    def learn(self, others: OthersEngines) -> None:
+    def set_other_owners(self, others: OthersEngines) -> None:
         """Take what other owners know, in place of what they told before."""
         with self._lock:
             now = self._clock.monotonic()
@@ -277,7 +277,7 @@
                     state.measured_at = now - told.age
                     state.paced = True
 
-    def refused(self, id: str, model: str) -> None:
+    def record_refused(self, id: str, model: str) -> None:
         """Note that the target takes no work for `model` now."""
         with self._lock:
             state = self._states.get(id)
@@ -294,7 +294,7 @@
                 state.loads[model] = _ExpectedLoad(version, until)
                 state.probed.add(model)
 
-    def accepted(self, id: str, model: str) -> None:
+    def record_accepted(self, id: str, model: str) -> None:
         """Note that the target has begun to answer a request for `model`."""
         with self._lock:
             state = self._states.get(id)
@@ -306,7 +306,7 @@
             change = self._circuits_of(state.target.service).answering(id)
         self._log(change)
 
-    def saw_version(self, id: str, model: str, version: int) -> None:
+    def record_version(self, id: str, model: str, version: int) -> None:
         """Note the version under which the target answers for `model`.
 
         It may be lower than the one known: an order that is carried out late, after a
@@ -317,7 +317,7 @@
             if state is not None:
                 state.versions[model] = version
 
-    def replaced(self, id: str) -> None:
+    def record_replaced(self, id: str) -> None:
         """Note that another incarnation answered at the target's address."""
         with self._lock:
             state = self._states.get(id)
--- a/tests/rows_fakes.py
+++ b/tests/rows_fakes.py
@@ -60,7 +60,7 @@
 def make_forwarder_by(exchange, clock, targets, failure_domain, guard=NO_GUARD):
     """Return a forwarder over `exchange`, with its targets and its metrics."""
     table = TargetTable(clock, random.Random(1))
-    table.replace(targets)
+    table.set_targets(targets)
     registry = Registry()
     forwarder = Forwarder(
         table,
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -23,7 +23,7 @@
     def __init__(self, clock):
         self.clock = clock
         self.table = TargetTable(clock, random.Random(1))
-        self.table.replace(
+        self.table.set_targets(
             Target(id, "s", f"h:{id}", "z", SLOTS, versions={MODEL: 1})
             for id in ENGINES
         )
@@ -46,7 +46,7 @@
             view = choose_engine(views, Needs(MODEL, 1), frozenset(), "", now)
             if view is None:
                 return count - sent
-            self.table.started(view.target.id, MODEL)
+            self.table.record_started(view.target.id, MODEL)
             self.sent[view.target.id] += 1
         return 0
 
@@ -72,9 +72,9 @@
     With own runs alone that engine had 24 of the 60 on its 12 places.
     """
     for owner in owners:
-        owner.table.paced("a", 0.033)
+        owner.table.record_pace("a", 0.033)
         for id in ENGINES[1:]:
-            owner.table.paced(id, 0.042)
+            owner.table.record_pace(id, 0.042)
         owner.ask()
     assert [owner.send(30) for owner in owners] == [0, 0]
     assert sum(totals(owners)) == 60
@@ -95,7 +95,7 @@
 def test_a_later_lot_goes_where_the_other_has_none(owners):
     for id in ("a", "b"):
         for _ in range(SLOTS):
-            owners[0].table.started(id, MODEL)
+            owners[0].table.record_started(id, MODEL)
     owners[1].ask()
     owners[1].send(12)
     assert owners[1].sent == {"a": 0, "b": 0, "c": 6, "d": 6}
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -73,7 +73,7 @@
 def make_runner(samples, versions, caller=None):
     clock = ManualClock(100.0)
     table = TargetTable(clock, random.Random(1))
-    table.replace(
+    table.set_targets(
         Target(id, "s", f"h:{id}", "z", 2, versions={MODEL: version})
         for id, version in versions.items()
     )
@@ -118,12 +118,12 @@
     """
     clock = ManualClock(100.0)
     table = TargetTable(clock, random.Random(1))
-    table.replace(
+    table.set_targets(
         Target(id, "s", f"h:{id}", "z", 2, versions={MODEL: version})
         for id, version in {"old": 4, "new": 5}.items()
     )
     for _ in range(places_taken):
-        table.started("old", MODEL)
+        table.record_started("old", MODEL)
     progress = LotProgress(LOT, 1, [])
     state = progress.open["s1"]
     state.text = Text([b"x"] * events, {4})
@@ -195,7 +195,7 @@
     runner = make_runner(runs, {"a": 4, "b": 4, "c": 4})
     table = runner._table
     told = [EngineState(id, others, 0.0, 0.0) for id in "abc"]
-    table.learn(OthersEngines(1, told))
+    table.set_other_owners(OthersEngines(1, told))
     lot = replace(LOT, single_version=False)
     runner.adopt(lot, 1)
     sending(runner)
--- a/tests/test_lot_times.py
+++ b/tests/test_lot_times.py
@@ -32,7 +32,7 @@
     try:
         if stage == "waits":
             for target in owner.runner._table.all_targets():
-                owner.runner._table.refused(target.id, "")
+                owner.runner._table.record_refused(target.id, "")
         progress = owner.adopt(make_lot(submitted_at=clock.time()))
         if stage == "is scored":
             wait_for(lambda: calls.sent)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -314,7 +314,7 @@
         self.targets = [
             Target(f"i-{n}", "desk", f"10.0.0.{n}:1", "z", 4) for n in range(5)
         ]
-        self.table.replace(self.targets)
+        self.table.set_targets(self.targets)
 
     def crash(self, number, request=REQUEST):
         target = self.targets[number]
@@ -355,7 +355,7 @@
         Target(one.id, one.service, one.address, "z", 4, draining=True)
         for one in guarded.targets
     ]
-    guarded.table.replace(leaving)
+    guarded.table.set_targets(leaving)
     for number in range(5):
         guarded.crash(number)
     assert guarded.ledger.empty
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -106,7 +106,7 @@
         self.routes = routes
         clock = clock or SystemClock()
         table = TargetTable(clock, random.Random(1))
-        table.replace(
+        table.set_targets(
             [Target(f"e{n}", "engines", f"h:{n}", "z", 4) for n in range(2)]
             + [Target(f"p{n}", "scorers", f"h:1{n}", "z", 4) for n in range(3)]
         )
--- a/tests/test_scoring_machine.py
+++ b/tests/test_scoring_machine.py
@@ -81,7 +81,7 @@
 
     def _make(self):
         table = TargetTable(self.clock, random.Random(1))
-        table.replace(Target(f"p{n}", "s", f"h:{n}", "z", 2) for n in range(2))
+        table.set_targets(Target(f"p{n}", "s", f"h:{n}", "z", 2) for n in range(2))
         shares = (ServiceShare("s", 1.0),)
         route = Route(
             "r", "h", "/score/", RouteKind.IDEMPOTENT, shares, 3.0, 0.8, ROUTE_BOUND
--- a/tests/test_target_follower.py
+++ b/tests/test_target_follower.py
@@ -58,11 +58,11 @@
 
 def test_nothing_that_is_believed_of_a_target_outlives_its_restart(followed):
     followed.register("i-1", born=1)
-    followed.table.started("i-1@1", "m")
-    followed.table.refused("i-1@1", "m")
-    followed.table.paced("i-1@1", 9.0)
-    followed.table.saw_version("i-1@1", "m", 7)
-    followed.table.replaced("i-1@1")
+    followed.table.record_started("i-1@1", "m")
+    followed.table.record_refused("i-1@1", "m")
+    followed.table.record_pace("i-1@1", 9.0)
+    followed.table.record_version("i-1@1", "m", 7)
+    followed.table.record_replaced("i-1@1")
     followed.register("i-1", born=2)
     (view,) = followed.table.views(SERVICE)
     assert view.target.id == "i-1@2"
@@ -70,7 +70,7 @@
     assert (dict(view.versions), dict(view.refused_until)) == ({}, {})
     assert followed.gone == ["i-1@1"]
     # Ends of its runs come late, and say nothing of the new incarnation.
-    followed.table.ended("i-1@1", "failure")
+    followed.table.record_ended("i-1@1", "failure")
     (view,) = followed.table.views(SERVICE)
     assert (view.in_flight, view.available) == (0, True)
 
--- a/tests/test_target_table.py
+++ b/tests/test_target_table.py
@@ -26,7 +26,7 @@
 @pytest.fixture
 def table(clock):
     table = TargetTable(clock, random.Random(1))
-    table.replace([Target("e", "s", "h:1", "z", 6, versions={MODEL: 1})])
+    table.set_targets([Target("e", "s", "h:1", "z", 6, versions={MODEL: 1})])
     return table
 
 
@@ -36,28 +36,28 @@
 
 
 def test_after_a_refusal_one_request_at_a_time_finds_out(table, clock):
-    table.started("e", MODEL)
-    table.refused("e", MODEL)
+    table.record_started("e", MODEL)
+    table.record_refused("e", MODEL)
     assert not takes(table, clock)
     assert takes(table, clock, OTHER)
     clock.advance(PROBE_SECONDS)
     assert takes(table, clock)
-    table.started("e", MODEL)
+    table.record_started("e", MODEL)
     assert not takes(table, clock)
-    table.accepted("e", MODEL)
+    table.record_accepted("e", MODEL)
     for _ in range(3):
         assert takes(table, clock)
-        table.started("e", MODEL)
+        table.record_started("e", MODEL)
 
 
 def test_an_engine_that_is_to_load_gets_one_request_at_a_time(table, clock):
     table.expect_load("e", MODEL, 2)
     assert takes(table, clock)
-    table.started("e", MODEL)
+    table.record_started("e", MODEL)
     assert not takes(table, clock)
-    table.started("e", OTHER)
+    table.record_started("e", OTHER)
     assert takes(table, clock, OTHER)
-    table.accepted("e", MODEL)
+    table.record_accepted("e", MODEL)
     assert takes(table, clock)
 
 
@@ -67,10 +67,10 @@
 
 def test_an_engine_is_closing_until_it_has_the_version(table, clock):
     table.expect_load("e", MODEL, 3)
-    table.accepted("e", MODEL)
-    table.saw_version("e", MODEL, 2)
+    table.record_accepted("e", MODEL)
+    table.record_version("e", MODEL, 2)
     assert closing(table) == {MODEL}
-    table.saw_version("e", MODEL, 3)
+    table.record_version("e", MODEL, 3)
     assert closing(table) == frozenset()
     table.expect_load("e", MODEL, 5)
     clock.advance(LOADING_SECONDS)
@@ -78,14 +78,14 @@
 
 
 def test_a_target_that_was_replaced_rests_until_its_registration_ends(table, clock):
-    table.replaced("e")
+    table.record_replaced("e")
     assert not table.views("s")[0].available
     clock.advance(REPLACED_SECONDS)
     assert table.views("s")[0].available
 
 
 @pytest.mark.parametrize(
-    ("call", "arguments"), [("refused", ()), ("expect_load", (2,)), ("accepted", ())]
+    ("call", "arguments"), [("record_refused", ()), ("expect_load", (2,)), ("record_accepted", ())]
 )
 def test_a_target_that_is_gone_is_passed_over(table, call, arguments):
     getattr(table, call)("gone", MODEL, *arguments)
@@ -97,34 +97,34 @@
 
 
 def test_a_slow_target_is_tried_again_after_some_time(table, clock):
-    table.paced("e", 0.2)
+    table.record_pace("e", 0.2)
     clock.advance(LATENCY_LIFE_SECONDS - 1)
     assert latency(table) == 0.2
     clock.advance(1)
     assert latency(table) == 0.0
-    table.paced("e", 0.05)
+    table.record_pace("e", 0.05)
     assert latency(table) == 0.05
 
 
 @pytest.mark.parametrize(("age", "taken"), [(1.0, 1), (5.0, 0)])
 def test_only_newer_paces_of_others_count(table, clock, age, taken):
     clock.advance(20.0)
-    table.paced("e", 0.04)
+    table.record_pace("e", 0.04)
     clock.advance(3.0)
     told = [EngineState("e", 0, 0.06, age), EngineState("gone", 0, 0.05, 0.0)]
-    table.learn(OthersEngines(1, told))
+    table.set_other_owners(OthersEngines(1, told))
     assert latency(table) == (0.06 if taken else 0.04)
     (state,) = table.engine_states()
     assert state == EngineState("e", 0, latency(table), age if taken else 3.0)
 
 
 def test_runs_of_other_owners_count_as_load(table):
-    table.started("e", MODEL)
+    table.record_started("e", MODEL)
     told = [EngineState("e", 2, 0.0, 0.0), EngineState("e", 1, 0.0, 0.0)]
-    table.learn(OthersEngines(2, told))
+    table.set_other_owners(OthersEngines(2, told))
     assert table.views("s")[0].load == 4
     assert [state.runs for state in table.engine_states()] == [1]
-    table.learn(OthersEngines(2, []))
+    table.set_other_owners(OthersEngines(2, []))
     assert table.views("s")[0].load == 1
 
 
@@ -135,12 +135,12 @@
 def test_another_owner_is_taken_to_send_alike_until_it_tells(
     table, owners, model, load
 ):
-    table.started("e", MODEL)
-    table.learn(OthersEngines(owners, []))
+    table.record_started("e", MODEL)
+    table.set_other_owners(OthersEngines(owners, []))
     for _ in range(2):
-        table.started("e", model)
+        table.record_started("e", model)
     assert table.views("s")[0].load == load
-    table.learn(OthersEngines(owners, []))
+    table.set_other_owners(OthersEngines(owners, []))
     assert table.views("s")[0].load == 3
 
 
@@ -148,16 +148,16 @@
     """The run itself may go on for seconds, in which its engine would stay empty."""
     # The only target of a service is never left alone.
     others = [Target(id, "s", f"h:{id}", "z", 6) for id in ("2", "3")]
-    table.replace([*table.all_targets(), *others])
+    table.set_targets([*table.all_targets(), *others])
     for _ in range(CIRCUIT_SETTINGS.consecutive):
-        table.started("e", MODEL)
-        table.ended("e", "failure")
+        table.record_started("e", MODEL)
+        table.record_ended("e", "failure")
     assert not table.views("s")[0].available
     clock.advance(CIRCUIT_SETTINGS.max_pause)
     assert table.views("s")[0].available
-    table.started("e", MODEL)
+    table.record_started("e", MODEL)
     assert not table.views("s")[0].available
-    table.accepted("e", MODEL)
+    table.record_accepted("e", MODEL)
     assert table.views("s")[0].available
 
 
@@ -165,16 +165,16 @@
 def test_answers_tell_an_engines_version_sooner_than_registrations(
     table, seen, registered, known
 ):
-    table.saw_version("e", MODEL, seen)
-    table.replace([Target("e", "s", "h:1", "z", 6, versions={MODEL: registered})])
+    table.record_version("e", MODEL, seen)
+    table.set_targets([Target("e", "s", "h:1", "z", 6, versions={MODEL: registered})])
     (view,) = table.views("s")
     assert view.versions[MODEL] == known
 
 
 def test_an_engine_that_went_back_is_known_as_such(table):
     """An order carried out late, after a restart, takes an engine back."""
-    table.saw_version("e", MODEL, 5)
-    table.saw_version("e", MODEL, 3)
+    table.record_version("e", MODEL, 5)
+    table.record_version("e", MODEL, 3)
     (view,) = table.views("s")
     assert view.versions[MODEL] == 3
 
@@ -187,9 +187,9 @@
     found = []
     for name in ("n1", "n2"):
         table = TargetTable(clock, random.Random(1), name)
-        table.replace(targets)
+        table.set_targets(targets)
         first = [view.target.id for view in table.views("s", MOST_LOOKED_AT)]
-        table.replace(targets[::-1])
+        table.set_targets(targets[::-1])
         again = [view.target.id for view in table.views("s", MOST_LOOKED_AT)]
         assert len(first) == min(count, MOST_LOOKED_AT)
         assert set(first) == set(again)
