--- a/src/wigeonfront/accounts/authorization.py
+++ b/src/wigeonfront/accounts/authorization.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 
-from wigeonfront.accounts.directory import KEY_PATTERN, MOST_KEY_LENGTH
+from wigeonfront.accounts.directory import KEY_PATTERN, MAX_KEY_LENGTH
 
 SCHEME = "bearer"
 
@@ -42,6 +42,6 @@
         return NoKey()
     scheme, _, rest = text.partition(" ")
     key = rest.strip(" \t")
-    if scheme.lower() != SCHEME or len(key) > MOST_KEY_LENGTH:
+    if scheme.lower() != SCHEME or len(key) > MAX_KEY_LENGTH:
         return MalformedKey()
     return key if KEY_PATTERN.fullmatch(key) else MalformedKey()
--- a/src/wigeonfront/accounts/directory.py
+++ b/src/wigeonfront/accounts/directory.py
@@ -23,10 +23,10 @@
 DIGEST_BYTES = 16
 FINGERPRINT_BYTES = 4
 
-MOST_KEY_LENGTH = 1_024
+MAX_KEY_LENGTH = 1_024
 """Characters of a key: a quarter of what many servers take as one header."""
 
-MOST_NAME_LENGTH = 64
+MAX_NAME_LENGTH = 64
 """Characters of an account's name, which is part of the store's keys."""
 
 KEY_PATTERN = re.compile(r"[A-Za-z0-9._~+/-]+=*")
@@ -101,16 +101,16 @@
 
 
 def _name_fault(name: str, names: set[str]) -> str:
-    if not NAME_PATTERN.fullmatch(name) or len(name) > MOST_NAME_LENGTH:
-        return f"account name {name[:MOST_NAME_LENGTH]!r} is empty, too long or unfit"
+    if not NAME_PATTERN.fullmatch(name) or len(name) > MAX_NAME_LENGTH:
+        return f"account name {name[:MAX_NAME_LENGTH]!r} is empty, too long or malformed"
     return f"account {name} stands twice" if name in names else ""
 
 
 def _key_fault(
     account: ClientAccount, key: str, known: Mapping[bytes, ClientAccount]
 ) -> str:
-    if not KEY_PATTERN.fullmatch(key) or len(key) > MOST_KEY_LENGTH:
-        return f"account {account.name} has a key that is empty, too long or unfit"
+    if not KEY_PATTERN.fullmatch(key) or len(key) > MAX_KEY_LENGTH:
+        return f"account {account.name} has a key that is empty, too long or malformed"
     other = known.get(_digest(key))
     if other is None:
         return ""
--- a/src/wigeonfront/accounts/gate.py
+++ b/src/wigeonfront/accounts/gate.py
@@ -16,7 +16,7 @@
 
 logger = logging.getLogger(__name__)
 
-LOG_PAUSE_SECONDS = 1.0
+LOG_INTERVAL_SECONDS = 1.0
 """Least time between two log lines about refused keys: a flood of bad keys must not
 crowd out the other lines."""
 
@@ -46,7 +46,7 @@
         self._refused = metrics.counter(
             "calls_without_account_total", "Calls whose key was refused.", ("reason",)
         )
-        self._logged_at = -LOG_PAUSE_SECONDS
+        self._logged_at = -LOG_INTERVAL_SECONDS
         self._unlogged = 0
 
     def check(
@@ -76,7 +76,7 @@
 
     def _log(self, admission: Admission, version: int, age: float) -> None:
         now = self._clock.monotonic()
-        if now - self._logged_at < LOG_PAUSE_SECONDS:
+        if now - self._logged_at < LOG_INTERVAL_SECONDS:
             self._unlogged += 1
             return
         event(
--- a/src/wigeonfront/rollout/engine_loads.py
+++ b/src/wigeonfront/rollout/engine_loads.py
@@ -19,7 +19,7 @@
 from wigeonfront.http.raw import RawCall
 from wigeonfront.observability.logs import event
 from wigeonfront.targets.table import TargetTable
-from wigeonfront.targets.views import EngineState, OthersEngines
+from wigeonfront.targets.views import EngineState, OtherOwnersReport
 
 logger = logging.getLogger(__name__)
 
@@ -115,7 +115,7 @@
             self._log(address, told)
         states = [told for told in found.values() if isinstance(told, list)]
         flat = [state for told in states for state in told]
-        self._table.set_other_owners(OthersEngines(len(found), flat))
+        self._table.set_other_owners(OtherOwnersReport(len(found), flat))
 
     def _ask(self, address: str) -> list[EngineState] | LoadsUnknown:
         answer = self._pools.post(address, LOADS_PATH, b"", ANSWER_SECONDS)
--- a/src/wigeonfront/rollout/order.py
+++ b/src/wigeonfront/rollout/order.py
@@ -122,7 +122,7 @@
         version = view.versions.get(self.model)
         if self.text_version:
             return version == self.text_version
-        if self.single_version and self.model in view.closing:
+        if self.single_version and self.model in view.loading:
             return False
         return version is None or version >= self.min_version
 
@@ -328,7 +328,7 @@
     Own samples alone count: what others have there is known late, and a place that
     falls free would wait for the next round. What is too much waits at the engine.
     """
-    return view.free + int(QUEUE_SHARE * view.target.slots) > 0
+    return view.free_slots + int(QUEUE_SHARE * view.target.slots) > 0
 
 
 def has_shared_room(view: TargetView) -> bool:
--- a/src/wigeonfront/rollout/placing.py
+++ b/src/wigeonfront/rollout/placing.py
@@ -24,7 +24,7 @@
     seconds_left,
 )
 from wigeonfront.rollout.progress import LotProgress, SampleState
-from wigeonfront.targets.table import MOST_LOOKED_AT, TargetTable
+from wigeonfront.targets.table import MAX_CANDIDATES, TargetTable
 from wigeonfront.targets.views import TargetView
 
 logger = logging.getLogger(__name__)
@@ -73,7 +73,7 @@
             Places are short, and other owners get their share of them.
         """
         # Whatever has the version of its text may go on with it.
-        most = None if waiting.needs.text_version else MOST_LOOKED_AT
+        most = None if waiting.needs.text_version else MAX_CANDIDATES
         views = self._table.views(service, most)
         chosen = self._choose(waiting, views, service, group_targets, shared)
         if chosen is None and len(views) == most:
@@ -160,7 +160,7 @@
         # An estimate that is passed says little: as much again may follow.
         left = max(expected - events * tokens_for_event, events * tokens_for_event)
         usable = usable_engines(
-            self._table.views(view.target.service, MOST_LOOKED_AT),
+            self._table.views(view.target.service, MAX_CANDIDATES),
             running.needs,
             self._clock.monotonic(),
         )
@@ -169,7 +169,7 @@
             for other in usable
             # One that is about to load would refuse the run.
             if other.target.id != view.target.id
-            and state.sample.model not in other.closing
+            and state.sample.model not in other.loading
         ]
         return should_move(others, pace, left, pace / tokens_for_event, state.moves)
 
--- a/src/wigeonfront/targets/table.py
+++ b/src/wigeonfront/targets/table.py
@@ -20,14 +20,14 @@
     Evidence,
 )
 from wigeonfront.targets.target import Target
-from wigeonfront.targets.views import EngineState, OthersEngines, TargetView
+from wigeonfront.targets.views import EngineState, OtherOwnersReport, TargetView
 
 logger = logging.getLogger(__name__)
 
 LATENCY_WEIGHT = 0.2
 """Weight of the newest answer in the smoothed latency: some ten answers count."""
 
-LATENCY_LIFE_SECONDS = 10.0
+LATENCY_TTL_SECONDS = 10.0
 """Time after which a latency counts as unknown: a target that was slow gets no work
 and is not measured, and would else count as slow for ever."""
 
@@ -48,7 +48,7 @@
 """Pause between two requests that find out whether a target takes work for a model
 again: a third of the time that a load of weights takes."""
 
-LOADING_SECONDS = 8.0
+EXPECTED_LOAD_SECONDS = 8.0
 """How long an engine that is to load a version is taken to be about to: the longest
 samples, which may have to end first, and the load take less."""
 
@@ -57,11 +57,11 @@
 by then the store has dropped the registration of the one that is gone."""
 
 
-MOST_LOOKED_AT = 128
+MAX_CANDIDATES = 128
 """Engines among which a place is looked for first: more than the samples of a Lot need,
 and few enough that neither the search nor the connections grow with the service."""
 
-MIRRORED_OWNERS = 1
+ASSUMED_OWNERS = 1
 """Other owners that are taken to send runs as this one does, until they tell: trainers
 ask for steps at the same moments."""
 
@@ -136,7 +136,7 @@
         for state in self._states.values():
             by_service.setdefault(state.target.service, []).append(state)
         for service, states in by_service.items():
-            if len(states) > MOST_LOOKED_AT:
+            if len(states) > MAX_CANDIDATES:
                 states.sort(key=lambda state: self._turn(state.target.id))
             ids = [state.target.id for state in states]
             self._circuits_of(service).set_targets(ids)
@@ -241,7 +241,7 @@
         state.measured_at = now
 
     def _latency(self, state: _State, now: float) -> float:
-        fresh = now - state.measured_at < LATENCY_LIFE_SECONDS
+        fresh = now - state.measured_at < LATENCY_TTL_SECONDS
         return state.latency if fresh else 0.0
 
     def engine_states(self) -> list[EngineState]:
@@ -259,7 +259,7 @@
             ]
         return [state for state in found if state.runs or state.pace]
 
-    def set_other_owners(self, others: OthersEngines) -> None:
+    def set_other_owners(self, others: OtherOwnersReport) -> None:
         """Take what other owners know, in place of what they told before."""
         with self._lock:
             now = self._clock.monotonic()
@@ -290,7 +290,7 @@
         with self._lock:
             state = self._states.get(id)
             if state is not None:
-                until = self._clock.monotonic() + LOADING_SECONDS
+                until = self._clock.monotonic() + EXPECTED_LOAD_SECONDS
                 state.loads[model] = _ExpectedLoad(version, until)
                 state.probed.add(model)
 
@@ -335,7 +335,7 @@
 
     def _view(self, state: _State, now: float) -> TargetView:
         id = state.target.id
-        unseen = MIRRORED_OWNERS * state.recent if self._other_owners else 0
+        unseen = ASSUMED_OWNERS * state.recent if self._other_owners else 0
         circuits = self._circuits_of(state.target.service)
         return TargetView(
             target=state.target,
@@ -345,7 +345,7 @@
             draining=state.target.draining,
             versions=dict(state.versions),
             refused_until=dict(state.refused_until),
-            closing=frozenset(
+            loading=frozenset(
                 model
                 for model, load in state.loads.items()
                 if now < load.until and state.versions.get(model, 0) < load.version
--- a/src/wigeonfront/targets/views.py
+++ b/src/wigeonfront/targets/views.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OthersEngines:
+class OtherOwnersReport:
     """What the other owners know of engines, at one moment.
 
     Attributes
@@ -61,7 +61,7 @@
         Versions last seen; empty if unknown.
     refused_until : dict of str to float
         Monotonic time until which it takes no work for a model.
-    closing : frozenset of str
+    loading : frozenset of str
         Models whose weights it is about to change.
     others : int
         Runs of other owners of Lots there, as far as known.
@@ -74,11 +74,11 @@
     draining: bool
     versions: Mapping[str, int]
     refused_until: Mapping[str, float]
-    closing: frozenset[str] = frozenset()
+    loading: frozenset[str] = frozenset()
     others: int = 0
 
     @property
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Places free of own requests; negative while these wait there."""
         return self.target.slots - self.in_flight
 
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -17,8 +17,8 @@
     make_directory,
     read_key,
 )
-from wigeonfront.accounts.directory import MOST_KEY_LENGTH, MOST_NAME_LENGTH
-from wigeonfront.accounts.gate import LOG_PAUSE_SECONDS, AccountGate
+from wigeonfront.accounts.directory import MAX_KEY_LENGTH, MAX_NAME_LENGTH
+from wigeonfront.accounts.gate import LOG_INTERVAL_SECONDS, AccountGate
 from wigeonfront.clock import ManualClock
 from wigeonfront.observability.metrics import Registry
 
@@ -46,7 +46,7 @@
         ("Bearer k1 k2", MalformedKey()),
         ("Bearer k1, Bearer k1", MalformedKey()),
         ("Bearer k1=2", MalformedKey()),
-        ("Bearer " + "k" * (MOST_KEY_LENGTH + 1), MalformedKey()),
+        ("Bearer " + "k" * (MAX_KEY_LENGTH + 1), MalformedKey()),
     ],
 )
 def test_a_key_is_read_as_http_has_it(header, key):
@@ -61,9 +61,9 @@
         ([(STUDIO, ["k1", "k1"])], "account studio has the key"),
         ([(STUDIO, [""])], "account studio has a key that is empty"),
         ([(STUDIO, ["k 1"])], "account studio has a key that is empty"),
-        ([(STUDIO, ["k" * (MOST_KEY_LENGTH + 1)])], "account studio has a key"),
+        ([(STUDIO, ["k" * (MAX_KEY_LENGTH + 1)])], "account studio has a key"),
         ([(ClientAccount(""), ["k1"])], "account name ''"),
-        ([(ClientAccount("n" * (MOST_NAME_LENGTH + 1)), [])], "account name"),
+        ([(ClientAccount("n" * (MAX_NAME_LENGTH + 1)), [])], "account name"),
         ([(ClientAccount("a b"), [])], "account name 'a b'"),
     ],
 )
@@ -129,7 +129,7 @@
     gate = AccountGate(lambda: 0.0, BOUNDS, clock, metrics)
     for number in range(100):
         gate.check(DIRECTORY, 7, False, f"Bearer bad{number}")
-    clock.advance(LOG_PAUSE_SECONDS)
+    clock.advance(LOG_INTERVAL_SECONDS)
     gate.check(DIRECTORY, 7, False, "Bearer bad100")
     lines = [one.getMessage() for one in caplog.records]
     assert len(lines) == 2
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -182,7 +182,7 @@
     ("accounts", "words"),
     [
         ({"studio": ["key-s1"], "other": ["key-s1"]}, "share the key"),
-        ({"studio": [""]}, "empty, too long or unfit"),
+        ({"studio": [""]}, "empty, too long or malformed"),
         ({"": ["key-s1"]}, "account name"),
         ({"studio": ["fingerprint:00000000"]}, "no key has the fingerprint:00000000"),
     ],
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -35,7 +35,7 @@
 from wigeonfront.spool import SpoolClient
 from wigeonfront.targets.table import PROBE_SECONDS, TargetTable
 from wigeonfront.targets.target import Target
-from wigeonfront.targets.views import EngineState, OthersEngines
+from wigeonfront.targets.views import EngineState, OtherOwnersReport
 
 MODEL = "m"
 SAMPLE = Sample("s1", "/x", (), b"", "g", MODEL)
@@ -195,7 +195,7 @@
     runner = make_runner(runs, {"a": 4, "b": 4, "c": 4})
     table = runner._table
     told = [EngineState(id, others, 0.0, 0.0) for id in "abc"]
-    table.set_other_owners(OthersEngines(1, told))
+    table.set_other_owners(OtherOwnersReport(1, told))
     lot = replace(LOT, single_version=False)
     runner.adopt(lot, 1)
     sending(runner)
--- a/tests/test_rollout_order.py
+++ b/tests/test_rollout_order.py
@@ -105,7 +105,7 @@
 
 
 OLD, NEW = engine("old", version=3), engine("new", 4, version=4)
-CLOSING = engine("closing", version=3, closing=frozenset({MODEL}))
+CLOSING = engine("closing", version=3, loading=frozenset({MODEL}))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_target_table.py
+++ b/tests/test_target_table.py
@@ -5,15 +5,15 @@
 from wigeonfront.clock import ManualClock
 from wigeonfront.targets.table import (
     CIRCUIT_SETTINGS,
-    LATENCY_LIFE_SECONDS,
-    LOADING_SECONDS,
-    MOST_LOOKED_AT,
+    LATENCY_TTL_SECONDS,
+    EXPECTED_LOAD_SECONDS,
+    MAX_CANDIDATES,
     PROBE_SECONDS,
     REPLACED_SECONDS,
     TargetTable,
 )
 from wigeonfront.targets.target import Target
-from wigeonfront.targets.views import EngineState, OthersEngines
+from wigeonfront.targets.views import EngineState, OtherOwnersReport
 
 MODEL, OTHER = "m", "o"
 
@@ -62,7 +62,7 @@
 
 
 def closing(table):
-    return table.views("s")[0].closing
+    return table.views("s")[0].loading
 
 
 def test_an_engine_is_closing_until_it_has_the_version(table, clock):
@@ -73,7 +73,7 @@
     table.record_version("e", MODEL, 3)
     assert closing(table) == frozenset()
     table.expect_load("e", MODEL, 5)
-    clock.advance(LOADING_SECONDS)
+    clock.advance(EXPECTED_LOAD_SECONDS)
     assert closing(table) == frozenset()
 
 
@@ -98,7 +98,7 @@
 
 def test_a_slow_target_is_tried_again_after_some_time(table, clock):
     table.record_pace("e", 0.2)
-    clock.advance(LATENCY_LIFE_SECONDS - 1)
+    clock.advance(LATENCY_TTL_SECONDS - 1)
     assert latency(table) == 0.2
     clock.advance(1)
     assert latency(table) == 0.0
@@ -112,7 +112,7 @@
     table.record_pace("e", 0.04)
     clock.advance(3.0)
     told = [EngineState("e", 0, 0.06, age), EngineState("gone", 0, 0.05, 0.0)]
-    table.set_other_owners(OthersEngines(1, told))
+    table.set_other_owners(OtherOwnersReport(1, told))
     assert latency(table) == (0.06 if taken else 0.04)
     (state,) = table.engine_states()
     assert state == EngineState("e", 0, latency(table), age if taken else 3.0)
@@ -121,10 +121,10 @@
 def test_runs_of_other_owners_count_as_load(table):
     table.record_started("e", MODEL)
     told = [EngineState("e", 2, 0.0, 0.0), EngineState("e", 1, 0.0, 0.0)]
-    table.set_other_owners(OthersEngines(2, told))
+    table.set_other_owners(OtherOwnersReport(2, told))
     assert table.views("s")[0].load == 4
     assert [state.runs for state in table.engine_states()] == [1]
-    table.set_other_owners(OthersEngines(2, []))
+    table.set_other_owners(OtherOwnersReport(2, []))
     assert table.views("s")[0].load == 1
 
 
@@ -136,11 +136,11 @@
     table, owners, model, load
 ):
     table.record_started("e", MODEL)
-    table.set_other_owners(OthersEngines(owners, []))
+    table.set_other_owners(OtherOwnersReport(owners, []))
     for _ in range(2):
         table.record_started("e", model)
     assert table.views("s")[0].load == load
-    table.set_other_owners(OthersEngines(owners, []))
+    table.set_other_owners(OtherOwnersReport(owners, []))
     assert table.views("s")[0].load == 3
 
 
@@ -179,7 +179,7 @@
     assert view.versions[MODEL] == 3
 
 
-@pytest.mark.parametrize("count", [20, MOST_LOOKED_AT, 3_000])
+@pytest.mark.parametrize("count", [20, MAX_CANDIDATES, 3_000])
 def test_a_process_looks_at_few_targets_of_a_large_service(count):
     """The same ones each time, and others than another process."""
     clock = ManualClock(100.0)
@@ -188,12 +188,12 @@
     for name in ("n1", "n2"):
         table = TargetTable(clock, random.Random(1), name)
         table.set_targets(targets)
-        first = [view.target.id for view in table.views("s", MOST_LOOKED_AT)]
+        first = [view.target.id for view in table.views("s", MAX_CANDIDATES)]
         table.set_targets(targets[::-1])
-        again = [view.target.id for view in table.views("s", MOST_LOOKED_AT)]
-        assert len(first) == min(count, MOST_LOOKED_AT)
+        again = [view.target.id for view in table.views("s", MAX_CANDIDATES)]
+        assert len(first) == min(count, MAX_CANDIDATES)
         assert set(first) == set(again)
         assert len(table.views("s")) == count
         found.append(set(first))
     shared = len(found[0] & found[1])
-    assert shared == count if count <= MOST_LOOKED_AT else shared < MOST_LOOKED_AT / 4
+    assert shared == count if count <= MAX_CANDIDATES else shared < MAX_CANDIDATES / 4
