--- a/src/wigeonfront/accounts/directory.py
+++ b/src/wigeonfront/accounts/directory.py
@@ -83,12 +83,12 @@
     by_digest: dict[bytes, ClientAccount] = {}
     names: set[str] = set()
     for account, keys in accounts:
-        reason = _name_fault(account.name, names)
+        reason = _invalid_name_reason(account.name, names)
         if reason:
             return BadAccounts(reason)
         names.add(account.name)
         for key in keys:
-            reason = _key_fault(account, key, by_digest)
+            reason = _invalid_key_reason(account, key, by_digest)
             if reason:
                 return BadAccounts(reason)
             by_digest[_digest(key)] = account
@@ -100,13 +100,13 @@
     return blake2b(key.encode(), digest_size=FINGERPRINT_BYTES).hexdigest()
 
 
-def _name_fault(name: str, names: set[str]) -> str:
+def _invalid_name_reason(name: str, names: set[str]) -> str:
     if not NAME_PATTERN.fullmatch(name) or len(name) > MAX_NAME_LENGTH:
         return f"account name {name[:MAX_NAME_LENGTH]!r} is empty, too long or malformed"
     return f"account {name} stands twice" if name in names else ""
 
 
-def _key_fault(
+def _invalid_key_reason(
     account: ClientAccount, key: str, known: Mapping[bytes, ClientAccount]
 ) -> str:
     if not KEY_PATTERN.fullmatch(key) or len(key) > MAX_KEY_LENGTH:
--- a/src/wigeonfront/targets/circuit.py
+++ b/src/wigeonfront/targets/circuit.py
@@ -30,7 +30,7 @@
         Failures in a row that open a circuit.
     rate : float
         Share of failures, over `window`, that opens a circuit.
-    minimum : float
+    min_results : float
         Least results within the window for the rate to count.
     window : float
         Seconds over which results lose their weight.
@@ -44,7 +44,7 @@
 
     consecutive: int = 5
     rate: float = 0.5
-    minimum: float = 10
+    min_results: float = 10
     window: float = 10.0
     base_pause: float = 1.0
     max_pause: float = 15.0
@@ -129,7 +129,7 @@
                 return False
             return self._clock.monotonic() < circuit.until
 
-    def sent(self, target: str) -> CircuitChange | None:
+    def record_attempt(self, target: str) -> CircuitChange | None:
         """Note that an attempt goes to `target`; it may be a circuit's probe."""
         with self._lock:
             circuit = self._circuits.get(target)
@@ -140,7 +140,7 @@
             circuit.until = now + self._settings.probe_timeout
             return CircuitChange(target, "half_open", "probe")
 
-    def note(self, target: str, found: Evidence) -> CircuitChange | None:
+    def record_result(self, target: str, found: Evidence) -> CircuitChange | None:
         """Take evidence about `target`; return a change of state."""
         if found == "none":
             return self._release_probe(target)
@@ -149,10 +149,10 @@
             circuit.decay(self._clock.monotonic(), self._settings.window)
             circuit.results += 1
             if found == "success":
-                return self._succeeded(target, circuit)
-            return self._failed(target, circuit)
+                return self._record_success(target, circuit)
+            return self._record_failure(target, circuit)
 
-    def answering(self, target: str) -> CircuitChange | None:
+    def record_answer_begun(self, target: str) -> CircuitChange | None:
         """Note that a request has begun to be answered; a probe closes the circuit.
 
         What is streamed lasts for seconds, in which the target would stay empty. The
@@ -179,7 +179,7 @@
             if circuit is not None and circuit.state == "half_open":
                 circuit.until = self._clock.monotonic()
 
-    def _succeeded(self, target: str, circuit: _Circuit) -> CircuitChange | None:
+    def _record_success(self, target: str, circuit: _Circuit) -> CircuitChange | None:
         circuit.consecutive = 0
         if circuit.state == "closed":
             circuit.openings = 0
@@ -188,7 +188,7 @@
         self._circuits[target] = _Circuit(updated=circuit.updated)
         return CircuitChange(target, "closed", "probe_succeeded")
 
-    def _failed(self, target: str, circuit: _Circuit) -> CircuitChange | None:
+    def _record_failure(self, target: str, circuit: _Circuit) -> CircuitChange | None:
         circuit.consecutive += 1
         circuit.failures += 1
         if circuit.state == "half_open":
@@ -198,7 +198,7 @@
         if circuit.consecutive >= self._settings.consecutive:
             return self._open(target, circuit, "consecutive_failures")
         if (
-            circuit.results >= self._settings.minimum
+            circuit.results >= self._settings.min_results
             and circuit.rate >= self._settings.rate
         ):
             return self._open(target, circuit, "failure_rate")
--- a/src/wigeonfront/targets/table.py
+++ b/src/wigeonfront/targets/table.py
@@ -34,7 +34,7 @@
 CIRCUIT_SETTINGS = CircuitSettings(
     consecutive=2,
     rate=0.5,
-    minimum=6,
+    min_results=6,
     window=5.0,
     base_pause=0.6,
     max_pause=3.0,
@@ -137,12 +137,12 @@
             by_service.setdefault(state.target.service, []).append(state)
         for service, states in by_service.items():
             if len(states) > MAX_CANDIDATES:
-                states.sort(key=lambda state: self._turn(state.target.id))
+                states.sort(key=lambda state: self._preference(state.target.id))
             ids = [state.target.id for state in states]
             self._circuits_of(service).set_targets(ids)
         self._by_service = by_service
 
-    def _turn(self, id: str) -> int:
+    def _preference(self, id: str) -> int:
         return crc32(f"{self._name} {id}".encode())
 
     def views(self, service: str, most: int | None = None) -> list[TargetView]:
@@ -195,7 +195,7 @@
                 state.recent += 1
             if model in state.probed:
                 state.refused_until[model] = self._clock.monotonic() + PROBE_SECONDS
-            change = self._circuits_of(state.target.service).sent(id)
+            change = self._circuits_of(state.target.service).record_attempt(id)
         if first:
             event(
                 logger,
@@ -223,7 +223,7 @@
             state.in_flight = max(0, state.in_flight - 1)
             if latency > 0:
                 self._measure(state, latency)
-            change = self._circuits_of(state.target.service).note(id, found)
+            change = self._circuits_of(state.target.service).record_result(id, found)
         self._log(change)
 
     def record_pace(self, id: str, latency: float) -> None:
@@ -303,7 +303,7 @@
             if model in state.probed:
                 state.probed.discard(model)
                 state.refused_until.pop(model, None)
-            change = self._circuits_of(state.target.service).answering(id)
+            change = self._circuits_of(state.target.service).record_answer_begun(id)
         self._log(change)
 
     def record_version(self, id: str, model: str, version: int) -> None:
--- a/src/wigeonfront/usage/backup.py
+++ b/src/wigeonfront/usage/backup.py
@@ -8,15 +8,15 @@
 from wigeonfront.coordination import rendezvous
 from wigeonfront.coordination.membership import Member
 from wigeonfront.observability.logs import event
-from wigeonfront.usage.calls import AgedStart, CopyStarts, StartClient, StartsOf
+from wigeonfront.usage.calls import AgedStart, CopyStarts, StartClient, ProcessStarts
 from wigeonfront.usage.starts import StartLog
 
 logger = logging.getLogger(__name__)
 
-COPY_PAUSE_SECONDS = 0.2
+COPY_INTERVAL_SECONDS = 0.2
 """Time in which starts gather: what a process that is killed takes with it."""
 
-AVOID_SECONDS = 2.0
+FAILED_HOLDER_PAUSE_SECONDS = 2.0
 """How long an entry that did not take copies is passed over."""
 
 
@@ -54,12 +54,12 @@
 
     def run(self, stop: threading.Event) -> None:
         """Copy what is new (a supervisor's task)."""
-        while not stop.wait(COPY_PAUSE_SECONDS):
+        while not stop.wait(COPY_INTERVAL_SECONDS):
             self.copy()
 
     def copy(self) -> None:
         """Copy what is new; all of it to an entry that has not held them before."""
-        self._withdrawn += [one.number for one in self._log.take_withdrawn()]
+        self._withdrawn += [one.number for one in self._log.pop_withdrawn()]
         starts = self._log.after(self._copied)
         if not starts and not self._withdrawn:
             return
@@ -71,12 +71,12 @@
             starts = self._log.after(0)
         now = self._clock.boottime()
         aged = [AgedStart(one.number, one.account, now - one.at) for one in starts]
-        copies = CopyStarts(StartsOf(self._me().incarnation, aged), self._withdrawn)
+        copies = CopyStarts(ProcessStarts(self._me().incarnation, aged), self._withdrawn)
         if self._client.copy(member.address, copies):
             self._copied = max((self._copied, *(one.number for one in starts)))
             self._withdrawn = []
             return
-        self._avoided[member.address] = self._clock.monotonic() + AVOID_SECONDS
+        self._avoided[member.address] = self._clock.monotonic() + FAILED_HOLDER_PAUSE_SECONDS
         self._holder = ""
         event(logger, "starts_not_copied", to=member.name, starts=len(starts))
 
--- a/src/wigeonfront/usage/calls.py
+++ b/src/wigeonfront/usage/calls.py
@@ -27,10 +27,10 @@
 ANSWER_SECONDS = 0.5
 """Longest wait for an answer, a hundred times what it takes."""
 
-MOST_BODY = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
-class TellStarts(msgspec.Struct, frozen=True):
+class StartsRequest(msgspec.Struct, frozen=True):
     """Asks for the starts of the last `seconds`."""
 
     seconds: float
@@ -44,7 +44,7 @@
     age: float
 
 
-class StartsOf(msgspec.Struct, frozen=True):
+class ProcessStarts(msgspec.Struct, frozen=True):
     """Starts that one process has noted."""
 
     incarnation: str
@@ -61,11 +61,11 @@
         Numbers of starts that were none.
     """
 
-    of: StartsOf
+    of: ProcessStarts
     withdrawn: list[int] = []
 
 
-class ToldStarts(msgspec.Struct, frozen=True):
+class StartsReply(msgspec.Struct, frozen=True):
     """What an entry knows of starts.
 
     Attributes
@@ -79,8 +79,8 @@
         Seconds that it took to answer.
     """
 
-    own: StartsOf
-    held: list[StartsOf]
+    own: ProcessStarts
+    held: list[ProcessStarts]
     unix: float
     handling: float
 
@@ -112,7 +112,7 @@
     def collect(self, call: RawCall) -> None:
         """Tell the starts that are noted or held here."""
         began = self._clock.boottime()
-        asked = _decode(call, TellStarts)
+        asked = _decode(call, StartsRequest)
         if asked is None:
             return
         now = self._clock.boottime()
@@ -122,14 +122,14 @@
             for one in self._log.since(since)
         ]
         held = [
-            StartsOf(
+            ProcessStarts(
                 incarnation,
                 [AgedStart(one.number, one.account, now - one.at) for one in starts],
             )
             for incarnation, starts in self._held.since(since).items()
         ]
-        told = ToldStarts(
-            StartsOf(self._incarnation(), own), held, self._clock.time(), now - began
+        told = StartsReply(
+            ProcessStarts(self._incarnation(), own), held, self._clock.time(), now - began
         )
         call.reply(OK, msgspec.msgpack.encode(told))
 
@@ -150,14 +150,14 @@
     def __init__(self) -> None:
         self._pools = Pools(CONNECT_SECONDS)
 
-    def collect(self, address: str, seconds: float) -> ToldStarts | None:
+    def collect(self, address: str, seconds: float) -> StartsReply | None:
         """Return the starts of the last `seconds`; ``None`` if it does not answer."""
-        body = msgspec.msgpack.encode(TellStarts(seconds))
+        body = msgspec.msgpack.encode(StartsRequest(seconds))
         answer = self._pools.post(address, COLLECT_PATH, body, ANSWER_SECONDS)
         if not isinstance(answer, Answer) or answer.status != OK:
             return None
         try:
-            return msgspec.msgpack.decode(answer.body, type=ToldStarts)
+            return msgspec.msgpack.decode(answer.body, type=StartsReply)
         except msgspec.DecodeError as error:
             event(logger, "bad_starts", address=address, reason=str(error)[:200])
             return None
@@ -172,7 +172,7 @@
 def _decode(call: RawCall, kind: type) -> object | None:
     """Return the call's message; a malformed one is answered here."""
     try:
-        return msgspec.msgpack.decode(call.body(MOST_BODY), type=kind)
+        return msgspec.msgpack.decode(call.body(MAX_BODY_BYTES), type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         event(logger, "bad_usage_call", reason=str(error)[:200])
         call.reply(400)
--- a/src/wigeonfront/usage/collection.py
+++ b/src/wigeonfront/usage/collection.py
@@ -14,11 +14,11 @@
     answered_at,
     reading_of,
 )
-from wigeonfront.usage.calls import AgedStart, StartClient, StartsOf, ToldStarts
+from wigeonfront.usage.calls import AgedStart, StartClient, ProcessStarts, StartsReply
 from wigeonfront.usage.held import HeldStarts
 from wigeonfront.usage.starts import StartLog
 
-CALL_THREADS = 8
+MAX_CONCURRENT_CALLS = 8
 """Entries that are asked at the same time."""
 
 
@@ -40,7 +40,7 @@
         Starts by the incarnation that noted and told them.
     copies : dict
         Starts by incarnation, as others hold them.
-    heard_at : dict of str to float
+    complete_until : dict of str to float
         Time on this machine's steady clock as of which each incarnation has told.
     readings : dict of str to ClockReading
         The best reading of each machine's clock.
@@ -48,7 +48,7 @@
 
     own: dict[str, Sequence[TimedStart]] = field(default_factory=dict)
     copies: dict[str, Sequence[TimedStart]] = field(default_factory=dict)
-    heard_at: dict[str, float] = field(default_factory=dict)
+    complete_until: dict[str, float] = field(default_factory=dict)
     readings: dict[str, ClockReading] = field(default_factory=dict)
 
     @property
@@ -56,8 +56,8 @@
         """The true time less this machine's steady clock."""
         return agreed_offset(self.readings.values())
 
-    def take(
-        self, member: Member, told: ToldStarts, sent: float, received: float
+    def add_reply(
+        self, member: Member, told: StartsReply, sent: float, received: float
     ) -> None:
         """Take what a member has told.
 
@@ -67,14 +67,14 @@
             Times of the call and the answer on this machine's steady clock.
         """
         at = answered_at(sent, received, told.handling)
-        self.own[told.own.incarnation] = _timed(told.own.starts, at)
+        self.own[told.own.incarnation] = _to_timed_starts(told.own.starts, at)
         for held in told.held:
-            self._take_copy(held, at)
-        self.heard_at[told.own.incarnation] = at
+            self._add_copy(held, at)
+        self.complete_until[told.own.incarnation] = at
         reading = reading_of(member.name, sent, received, told.handling, told.unix)
         self.readings[member.name] = reading
 
-    def take_here(
+    def add_local(
         self,
         incarnation: str,
         name: str,
@@ -91,11 +91,11 @@
         for other, starts in held.since(since).items():
             copy = [TimedStart(one.account, one.at) for one in starts]
             self._keep_longer(other, copy)
-        self.heard_at[incarnation] = now
+        self.complete_until[incarnation] = now
         self.readings[name] = ClockReading(name, clock.time() - now, 0.0)
 
-    def _take_copy(self, held: StartsOf, at: float) -> None:
-        self._keep_longer(held.incarnation, _timed(held.starts, at))
+    def _add_copy(self, held: ProcessStarts, at: float) -> None:
+        self._keep_longer(held.incarnation, _to_timed_starts(held.starts, at))
 
     def _keep_longer(self, incarnation: str, starts: Sequence[TimedStart]) -> None:
         if len(starts) >= len(self.copies.get(incarnation, ())):
@@ -105,10 +105,10 @@
         """Return the starts of each account between two times of the steady clock."""
         counts: Counter[str] = Counter()
         for incarnation in {**self.own, **self.copies}:
-            counts.update(self._accounts(incarnation, begin, end))
+            counts.update(self._accounts_of(incarnation, begin, end))
         return dict(counts)
 
-    def _accounts(self, incarnation: str, begin: float, end: float) -> list[str]:
+    def _accounts_of(self, incarnation: str, begin: float, end: float) -> list[str]:
         """Return the account of each start of one process.
 
         What it has told itself after the end is all there is; else copies may be newer.
@@ -120,11 +120,11 @@
                 self.copies.get(incarnation, ()),
             )
         )
-        told_all = self.heard_at.get(incarnation, -math.inf) >= end
+        told_all = self.complete_until.get(incarnation, -math.inf) >= end
         return own if told_all or len(own) >= len(copy) else copy
 
 
-def _timed(starts: Iterable[AgedStart], answered: float) -> list[TimedStart]:
+def _to_timed_starts(starts: Iterable[AgedStart], answered: float) -> list[TimedStart]:
     return [TimedStart(one.account, answered - one.age) for one in starts]
 
 
@@ -147,7 +147,7 @@
         """Ask `members` for the starts from a time on the steady clock on."""
         if not members:
             return
-        with ThreadPoolExecutor(CALL_THREADS, "usage-collect") as executor:
+        with ThreadPoolExecutor(MAX_CONCURRENT_CALLS, "usage-collect") as executor:
             list(executor.map(lambda one: self._ask(one, since, collection), members))
 
     def _ask(self, member: Member, since: float, collection: Collection) -> None:
@@ -155,4 +155,4 @@
         told = self._client.collect(member.address, sent - since)
         received = self._clock.boottime()
         if told is not None:
-            collection.take(member, told, sent, received)
+            collection.add_reply(member, told, sent, received)
--- a/src/wigeonfront/usage/held.py
+++ b/src/wigeonfront/usage/held.py
@@ -3,7 +3,7 @@
 import threading
 from collections.abc import Iterable, Mapping
 
-from wigeonfront.usage.starts import KEPT_SECONDS, Start
+from wigeonfront.usage.starts import RETENTION_SECONDS, Start
 
 
 class HeldStarts:
@@ -38,7 +38,7 @@
             for number in withdrawn:
                 if number in mine:
                     mine[number].withdrawn = True
-            self._forget(now - KEPT_SECONDS)
+            self._remove_older(now - RETENTION_SECONDS)
 
     def since(self, at: float) -> Mapping[str, list[Start]]:
         """Return the starts that ran from a time on, by incarnation."""
@@ -51,7 +51,7 @@
             }
         return {incarnation: starts for incarnation, starts in found.items() if starts}
 
-    def _forget(self, before: float) -> None:
+    def _remove_older(self, before: float) -> None:
         for incarnation, starts in list(self._held.items()):
             for number in [one.number for one in starts.values() if one.at < before]:
                 del starts[number]
--- a/src/wigeonfront/usage/reporting.py
+++ b/src/wigeonfront/usage/reporting.py
@@ -15,23 +15,23 @@
 from wigeonfront.usage.held import HeldStarts
 from wigeonfront.usage.ledger import Counts, Fixed, NotFixed, UsageLedger
 from wigeonfront.usage.starts import StartLog
-from wigeonfront.usage.windows import UsageBounds, closable_windows, ended_windows
+from wigeonfront.usage.windows import UsageBounds, windows_to_fix, ended_windows
 
 logger = logging.getLogger(__name__)
 
 SUBJECT = "usage"
 """Of the duty, among all that machines act for."""
 
-HOLDER_PAUSE_SECONDS = 0.25
+HOLDER_INTERVAL_SECONDS = 0.25
 """Pause of the holder until it looks again whether something is to be done."""
 
-IDLE_PAUSE_SECONDS = 0.5
+IDLE_INTERVAL_SECONDS = 0.5
 
-MARGIN_SECONDS = 1.0
+CLOCK_MARGIN_SECONDS = 1.0
 """Time before a window from which starts are asked for: many times the error of the
 agreed time."""
 
-MOST_LATE_SECONDS = 60.0
+MAX_LATE_SECONDS = 60.0
 """Time after a window's end after which its report is given up: a report that is late
 still tells whoever bills by it, but must not hold up those that are due."""
 
@@ -116,33 +116,33 @@
             if holds:
                 self.step()
             elif self._fixed is not None:
-                self._forget()
-            stop.wait(HOLDER_PAUSE_SECONDS if holds else IDLE_PAUSE_SECONDS)
+                self._give_up_duty()
+            stop.wait(HOLDER_INTERVAL_SECONDS if holds else IDLE_INTERVAL_SECONDS)
 
     def step(self) -> None:
         """Fix the windows that have ended, and send what is fixed."""
         if self._fixed is None:
-            self._read()
+            self._load_ledger()
         if self._fixed is None:
             return
         self._fix_ended()
         if self._fixed is not None:
             self._send()
 
-    def _forget(self) -> None:
+    def _give_up_duty(self) -> None:
         event(logger, "usage_duty_lost", through=self._fixed and self._fixed.through)
         self._fixed = None
         self._sent = frozenset()
         self._collection = Collection()
 
-    def _read(self) -> None:
+    def _load_ledger(self) -> None:
         read = self._ledger.read()
         if isinstance(read, NotFixed):
             event(logger, "usage_ledger_unread", reason=read.reason)
             return
         if not read.revision:
             # The first of all begins with what is still due.
-            read = Fixed(self._bounds.at(self._now() - self._bounds.due) - 1)
+            read = Fixed(self._bounds.window_at(self._now() - self._bounds.due) - 1)
         self._fixed = read
         event(
             logger,
@@ -169,23 +169,23 @@
         # The time is known better now than it was before.
         ended = ended_windows(self._fixed.through, self._now(), self._bounds)
         offset = self._collection.offset
-        heard_at = {
+        complete_until = {
             incarnation: at + offset
-            for incarnation, at in self._collection.heard_at.items()
+            for incarnation, at in self._collection.complete_until.items()
         }
         living = [one.incarnation for one in self._members()]
         now = self._now()
-        windows = closable_windows(ended, heard_at, living, now, self._bounds)
+        windows = windows_to_fix(ended, complete_until, living, now, self._bounds)
         if windows:
             silent = sum(
-                heard_at.get(one, 0.0) < self._bounds.end(windows[-1]) for one in living
+                complete_until.get(one, 0.0) < self._bounds.end(windows[-1]) for one in living
             )
             self._fix(windows, offset, silent)
 
     def _collect(self, ended: range) -> None:
         """Ask the entries that have not told yet what began in the ended windows."""
         unix_offset = self._now() - self._clock.boottime()
-        since = self._bounds.begin(ended[0]) - unix_offset - MARGIN_SECONDS
+        since = self._bounds.begin(ended[0]) - unix_offset - CLOCK_MARGIN_SECONDS
         end = self._bounds.end(ended[-1]) - unix_offset
         me = self._me()
         collection = self._collection
@@ -193,10 +193,10 @@
             one
             for one in self._members()
             if one.name != me.name
-            and collection.heard_at.get(one.incarnation, -1.0) < end
+            and collection.complete_until.get(one.incarnation, -1.0) < end
         ]
         self._collector.collect(silent, since, collection)
-        collection.take_here(
+        collection.add_local(
             me.incarnation, me.name, self._log, self._held, since, self._clock
         )
 
@@ -237,8 +237,8 @@
         unsent = sorted(self._fixed.unsent.keys() - self._sent)
         late = [one for one in unsent if now > self._bounds.end(one) + self._bounds.due]
         for window in [one for one in unsent if one not in late] + late:
-            if now > self._bounds.end(window) + MOST_LATE_SECONDS:
-                self._note(window, NotTaken("given up"), 0)
+            if now > self._bounds.end(window) + MAX_LATE_SECONDS:
+                self._record_outcome(window, NotTaken("given up"), 0)
                 self._sent |= {window}
                 continue
             fence = self._rights.fence(SUBJECT)
@@ -246,12 +246,12 @@
                 return
             counts = self._fixed.unsent[window]
             outcome = self._api.report_usage(window, counts, self._name, fence)
-            self._note(window, outcome, fence)
+            self._record_outcome(window, outcome, fence)
             if not isinstance(outcome, Taken):
                 return
             self._sent |= {window}
 
-    def _note(self, window: int, outcome: DutyOutcome, fence: int) -> None:
+    def _record_outcome(self, window: int, outcome: DutyOutcome, fence: int) -> None:
         after = self._now() - self._bounds.end(window)
         late = after > self._bounds.due
         name = type(outcome).__name__
--- a/src/wigeonfront/usage/starts.py
+++ b/src/wigeonfront/usage/starts.py
@@ -6,11 +6,11 @@
 
 from wigeonfront.clock import Clock
 
-KEPT_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 """How long a start is kept: windows whose report was held up by an outage of this
 length are still counted."""
 
-WAY_SECONDS = 0.0003
+TRANSIT_SECONDS = 0.0003
 """Time from the end of a send until the target begins: the way between machines of one
 deployment. A tenth of it is one request a window miscounted in 10,000."""
 
@@ -72,9 +72,9 @@
         now = self._clock.boottime()
         with self._lock:
             self._last += 1
-            start = Start(self._last, account, now + WAY_SECONDS)
+            start = Start(self._last, account, now + TRANSIT_SECONDS)
             self._starts.append(start)
-            while self._starts[0].at < now - KEPT_SECONDS:
+            while self._starts[0].at < now - RETENTION_SECONDS:
                 self._starts.popleft()
         return start
 
@@ -94,7 +94,7 @@
         with self._lock:
             return [one for one in self._starts if one.at >= at and not one.withdrawn]
 
-    def take_withdrawn(self) -> list[Start]:
+    def pop_withdrawn(self) -> list[Start]:
         """Return the starts that were withdrawn since the last call."""
         with self._lock:
             taken = list(self._changed)
--- a/src/wigeonfront/usage/windows.py
+++ b/src/wigeonfront/usage/windows.py
@@ -16,7 +16,7 @@
 """Share of the time in which a report is due for which entries that don't answer are
 waited for: the rest is for the store and the platform to take it."""
 
-MOST_BEHIND_SECONDS = 50.0
+MAX_CATCH_UP_SECONDS = 50.0
 """How far back windows are caught up after an outage; starts are kept longer."""
 
 
@@ -43,7 +43,7 @@
         """Return the Unix time at which a window ends."""
         return (window + 1) * self.window
 
-    def at(self, unix: float) -> int:
+    def window_at(self, unix: float) -> int:
         """Return the window of a time."""
         return math.floor(unix / self.window)
 
@@ -58,14 +58,14 @@
     now : float
         Unix time that most clocks agree on.
     """
-    last = bounds.at(now - SETTLE_SECONDS) - 1
-    first = bounds.at(now - MOST_BEHIND_SECONDS)
+    last = bounds.window_at(now - SETTLE_SECONDS) - 1
+    first = bounds.window_at(now - MAX_CATCH_UP_SECONDS)
     return range(max(through + 1, first), last + 1)
 
 
-def closable_windows(
+def windows_to_fix(
     ended: Iterable[int],
-    heard_at: Mapping[str, float],
+    complete_until: Mapping[str, float],
     living: Iterable[str],
     now: float,
     bounds: UsageBounds,
@@ -76,14 +76,14 @@
     ----------
     ended : iterable of int
         See `ended_windows`.
-    heard_at : mapping of str to float
+    complete_until : mapping of str to float
         Unix time as of which each entry has last told its starts.
     living : iterable of str
         Entries that live.
     now : float
         Unix time.
     """
-    heard = min((heard_at.get(name, -math.inf) for name in living), default=math.inf)
+    heard = min((complete_until.get(name, -math.inf) for name in living), default=math.inf)
     closable = []
     for window in ended:
         end = bounds.end(window)
--- a/tests/test_circuit.py
+++ b/tests/test_circuit.py
@@ -18,7 +18,7 @@
 
 
 def record(made, target, outcomes):
-    return [made.note(target, outcome) for outcome in outcomes]
+    return [made.record_result(target, outcome) for outcome in outcomes]
 
 
 @pytest.mark.parametrize(
@@ -47,9 +47,9 @@
     record(made, "a", [BAD] * 5)
     clock.advance(1.0)
     assert not made.is_open("a")
-    assert made.sent("a").state == "half_open"
+    assert made.record_attempt("a").state == "half_open"
     assert made.is_open("a")
-    made.note("a", outcome)
+    made.record_result("a", outcome)
     assert made.state("a") == state
 
 
@@ -58,12 +58,12 @@
     """Pauses grow until a request ends well; one that breaks off begins an answer."""
     clock = ManualClock()
     made = circuits(clock, consecutive=1, base_pause=1.0, max_pause=8.0)
-    first = made.note("a", BAD).pause
-    assert made.answering("a") is None
+    first = made.record_result("a", BAD).pause
+    assert made.record_answer_begun("a") is None
     assert made.is_open("a")
     clock.advance(1.0)
-    made.sent("a")
-    assert made.answering("a").state == "closed"
+    made.record_attempt("a")
+    assert made.record_answer_begun("a").state == "closed"
     assert not made.is_open("a")
     opened = [change for change in record(made, "a", [outcome, BAD]) if change]
     assert first <= 1.0
@@ -75,7 +75,7 @@
     made = circuits(clock, probe_timeout=10.0)
     record(made, "a", [BAD] * 5)
     clock.advance(1.0)
-    made.sent("a")
+    made.record_attempt("a")
     clock.advance(10.0)
     assert not made.is_open("a")
 
@@ -86,8 +86,8 @@
     pauses = [record(made, "a", [BAD] * 5)[-1].pause]
     for _ in range(8):
         clock.advance(8.0)
-        made.sent("a")
-        pauses.append(made.note("a", BAD).pause)
+        made.record_attempt("a")
+        pauses.append(made.record_result("a", BAD).pause)
     assert pauses[0] <= 1.0 < pauses[-1] <= 8.0
 
 
@@ -97,7 +97,7 @@
     clock = ManualClock()
     made = circuits(clock, ejected_share=0.5)
     for target, good in events:
-        made.note(target, GOOD if good else BAD)
+        made.record_result(target, GOOD if good else BAD)
         clock.advance(0.1)
         assert sum(made.state(t) != "closed" for t in TARGETS) <= 2
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -7,17 +7,17 @@
 from wigeonfront.coordination.membership import Member
 from wigeonfront.coordination.true_time import ClockReading, agreed_offset, reading_of
 from wigeonfront.usage.backup import copy_holder
-from wigeonfront.usage.calls import AgedStart, StartsOf, ToldStarts
+from wigeonfront.usage.calls import AgedStart, ProcessStarts, StartsReply
 from wigeonfront.usage.collection import Collection
 from wigeonfront.usage.held import HeldStarts
 from wigeonfront.usage.ledger import LEDGER_KEY, Fixed, NotFixed, UsageLedger
-from wigeonfront.usage.starts import KEPT_SECONDS, WAY_SECONDS, StartLog
+from wigeonfront.usage.starts import RETENTION_SECONDS, TRANSIT_SECONDS, StartLog
 from wigeonfront.usage.windows import (
     GIVE_UP_SHARE,
-    MOST_BEHIND_SECONDS,
+    MAX_CATCH_UP_SECONDS,
     SETTLE_SECONDS,
     UsageBounds,
-    closable_windows,
+    windows_to_fix,
     ended_windows,
 )
 
@@ -73,7 +73,7 @@
         (9, 55.0 + SETTLE_SECONDS, [10]),
         (9, 61.0, [10, 11]),
         (11, 61.0, []),
-        (9, 5_000.0, list(range(int((5_000 - MOST_BEHIND_SECONDS) / 5), 999))),
+        (9, 5_000.0, list(range(int((5_000 - MAX_CATCH_UP_SECONDS) / 5), 999))),
     ],
 )
 def test_windows_end_once_no_start_can_fall_into_them(through, now, ended):
@@ -92,12 +92,12 @@
     ],
 )
 def test_a_window_waits_for_those_who_live_but_not_for_ever(heard, now, closable):
-    assert closable_windows([10], heard, ["a", "b"], now, BOUNDS) == closable
+    assert windows_to_fix([10], heard, ["a", "b"], now, BOUNDS) == closable
 
 
 def test_an_older_window_is_closed_before_a_newer_one_is_heard_of():
     heard = {"a": 57.0, "b": 57.0}
-    assert closable_windows([10, 11], heard, ["a", "b"], 61.0, BOUNDS) == [10]
+    assert windows_to_fix([10, 11], heard, ["a", "b"], 61.0, BOUNDS) == [10]
 
 
 # --- starts ------------------------------------------------------------------
@@ -111,17 +111,17 @@
     assert [one.account for one in log.since(0.0)] == ["studio"]
     note.withdraw()
     assert log.since(0.0) == []
-    assert [one.number for one in log.take_withdrawn()] == [1, 2]
+    assert [one.number for one in log.pop_withdrawn()] == [1, 2]
 
 
 def test_starts_are_forgotten_once_no_window_wants_them():
     clock = ManualClock(100.0)
     log = StartLog(clock)
     log.add("studio")
-    clock.advance(KEPT_SECONDS + 1.0)
+    clock.advance(RETENTION_SECONDS + 1.0)
     log.add("other")
     assert [one.account for one in log.after(0)] == ["other"]
-    assert log.since(100.0)[0].at == clock.boottime() + WAY_SECONDS
+    assert log.since(100.0)[0].at == clock.boottime() + TRANSIT_SECONDS
 
 
 def test_copies_are_held_once_and_forgotten():
@@ -131,7 +131,7 @@
     assert [one.account for one in held.since(0.0)["n1.a"]] == ["other", "other"]
     assert [one.at for one in held.since(0.0)["n1.a"]] == [11.0, 12.0]
     assert held.since(12.5) == {}
-    held.hold("n2.a", [], [], 12.0 + KEPT_SECONDS + 0.1)
+    held.hold("n2.a", [], [], 12.0 + RETENTION_SECONDS + 0.1)
     assert held.since(0.0) == {}
 
 
@@ -158,17 +158,17 @@
 
 
 def told(incarnation, ages, held=(), handling=0.0, unix=1_000.0):
-    own = StartsOf(incarnation, [AgedStart(n, "s", age) for n, age in enumerate(ages)])
+    own = ProcessStarts(incarnation, [AgedStart(n, "s", age) for n, age in enumerate(ages)])
     copies = [
-        StartsOf(other, [AgedStart(n, "s", age) for n, age in enumerate(of)])
+        ProcessStarts(other, [AgedStart(n, "s", age) for n, age in enumerate(of)])
         for other, of in held
     ]
-    return ToldStarts(own, copies, unix, handling)
+    return StartsReply(own, copies, unix, handling)
 
 
 def test_starts_are_counted_by_their_age_where_they_were_noted():
     collection = Collection()
-    collection.take(member("n1"), told("n1.1", [0.5, 1.5, 5.5]), 100.0, 100.2)
+    collection.add_reply(member("n1"), told("n1.1", [0.5, 1.5, 5.5]), 100.0, 100.2)
     assert collection.count(95.0, 99.0) == {"s": 1}
     assert collection.count(94.7, 100.0) == {"s": 2}
     assert collection.count(94.5, 100.0) == {"s": 3}
@@ -190,9 +190,9 @@
 ):
     collection = Collection()
     if own_at is not None:
-        collection.take(member("n1"), told("n1.1", own_ages), own_at, own_at)
-    collection.take(member("n2"), told("n2.1", [], [("n1.1", held_ages)]), 101.0, 101.0)
-    collection.take(member("n3"), told("n3.1", [], [("n1.1", [2.0])]), 101.0, 101.0)
+        collection.add_reply(member("n1"), told("n1.1", own_ages), own_at, own_at)
+    collection.add_reply(member("n2"), told("n2.1", [], [("n1.1", held_ages)]), 101.0, 101.0)
+    collection.add_reply(member("n3"), told("n3.1", [], [("n1.1", [2.0])]), 101.0, 101.0)
     assert sum(collection.count(95.0, 100.0).values()) == count
 
 
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -26,12 +26,12 @@
 from wigeonfront.coordination.rows import Row
 from wigeonfront.duties import NotTaken, Taken
 from wigeonfront.observability.metrics import Registry
-from wigeonfront.usage.calls import AgedStart, StartsOf, ToldStarts
+from wigeonfront.usage.calls import AgedStart, ProcessStarts, StartsReply
 from wigeonfront.usage.collection import Collection
 from wigeonfront.usage.held import HeldStarts
 from wigeonfront.usage.ledger import UsageLedger
 from wigeonfront.usage.reporting import SUBJECT, UsageReporter
-from wigeonfront.usage.starts import WAY_SECONDS, StartLog
+from wigeonfront.usage.starts import TRANSIT_SECONDS, StartLog
 from wigeonfront.usage.windows import SETTLE_SECONDS, UsageBounds
 
 NAMES = ("e1", "e2", "e3")
@@ -136,16 +136,16 @@
                 for one in other.log.since(since)
             ]
             held = [
-                StartsOf(
+                ProcessStarts(
                     incarnation,
                     [AgedStart(one.number, one.account, now - one.at) for one in of],
                 )
                 for incarnation, of in other.held.since(since).items()
             ]
-            told = ToldStarts(
-                StartsOf(member.incarnation, own), held, other.clock.time(), 0.0
+            told = StartsReply(
+                ProcessStarts(member.incarnation, own), held, other.clock.time(), 0.0
             )
-            collection.take(member, told, now, now)
+            collection.add_reply(member, told, now, now)
 
     def act(self):
         if self.reporter._holder(SUBJECT) == self.name:
@@ -188,8 +188,8 @@
     @rule(name=st.sampled_from(NAMES), account=st.sampled_from(ACCOUNTS))
     def request_begins(self, name, account):
         self.machines[name].log.add(account)
-        at = self.clock.time() + WAY_SECONDS
-        counts = self.truth.setdefault(BOUNDS.at(at), {})
+        at = self.clock.time() + TRANSIT_SECONDS
+        counts = self.truth.setdefault(BOUNDS.window_at(at), {})
         counts[account] = counts.get(account, 0) + 1
 
     @rule(name=st.sampled_from(NAMES))
@@ -280,7 +280,7 @@
         self.reports_agree()
         self.counts_are_true()
         now = self.clock.time()
-        last = BOUNDS.at(now - BOUNDS.due) - 1
+        last = BOUNDS.window_at(now - BOUNDS.due) - 1
         assert last in self.judge.reports
 
 
