--- a/src/wigeonfront/targets/__init__.py
+++ b/src/wigeonfront/targets/__init__.py
@@ -1,7 +1,8 @@
-"""Targets: what is registered, what was seen of each, and circuits; it starts no tasks.
+"""Registered targets, their observed load and health, and their circuit breakers.
 
-`target` is a registration as data, `table` all that a process believes of targets, and
-`circuit` decides when one that fails is left alone.
+`target` holds a registration as data, `table` holds the state that this process keeps
+of each target, and `circuit` decides when a failing target gets no requests. The
+package starts no tasks.
 """
 
 from wigeonfront.targets.table import TargetTable
--- a/src/wigeonfront/targets/circuit.py
+++ b/src/wigeonfront/targets/circuit.py
@@ -1,10 +1,10 @@
-"""Circuits: targets that fail are left alone for a while.
+"""Circuit breakers: a failing target gets no requests for a while.
 
-One `Circuits` object per service and entry, thread-safe. A circuit opens after
-failures in a row or at a failure rate, stays open for a pause with full jitter that
-doubles with each opening, then lets one probe through. At most a share of the
-service is ejected at once, so that a fault common to all targets does not take the
-whole service out.
+Each entry has one thread-safe `Circuits` object per service. A circuit opens after a
+number of consecutive failures or at a failure rate. It stays open for a jittered pause,
+whose bound doubles with each opening, and then lets one probe through. Only a share of
+a service's targets is ejected at once, so that a fault common to all targets doesn't
+take the whole service out.
 """
 
 import math
@@ -27,19 +27,20 @@
     Attributes
     ----------
     consecutive : int
-        Failures in a row that open a circuit.
+        Number of consecutive failures that open a circuit.
     rate : float
         Share of failures, over `window`, that opens a circuit.
     min_results : float
-        Least results within the window for the rate to count.
+        Number of results within the window from which on the rate counts.
     window : float
-        Seconds over which results lose their weight.
+        Time constant in seconds with which older results lose weight exponentially.
     base_pause, max_pause : float
-        Bounds in seconds of the pause, which doubles with each opening.
+        Upper bound in seconds of the first pause, which doubles with each opening, and
+        the limit of its growth.
     probe_timeout : float
-        Seconds after which a probe without a result no longer blocks the next.
+        Seconds after which a probe without a result no longer blocks the next one.
     ejected_share : float
-        Largest share of the service's targets with an open circuit.
+        Maximum share of the service's targets whose circuits aren't closed.
     """
 
     consecutive: int = 5
@@ -54,7 +55,23 @@
 
 @dataclass(frozen=True, slots=True)
 class CircuitChange:
-    """A circuit changed its state; for one log line."""
+    """A change of a circuit's state, for one log line.
+
+    Attributes
+    ----------
+    target : str
+        Id of the target.
+    state : {"closed", "open", "half_open"}
+        The new state.
+    reason : str
+        Why the state changed, such as ``consecutive_failures`` or ``probe``.
+    consecutive : int
+        Number of consecutive failures, for a circuit that opens.
+    rate : float
+        Failure rate, for a circuit that opens.
+    pause : float
+        Seconds until the first probe, for a circuit that opens.
+    """
 
     target: str
     state: State
@@ -86,16 +103,16 @@
 
 
 class Circuits:
-    """The circuits of one service's targets, as seen by one entry.
+    """The circuit breakers of one service's targets in one entry.
 
     Parameters
     ----------
     clock : Clock
         Source of monotonic time.
     random : random.Random
-        Source of jitter.
+        Source of the jitter in pauses.
     settings : CircuitSettings
-        Thresholds.
+        Thresholds and pauses.
     """
 
     def __init__(
@@ -111,17 +128,17 @@
         self._lock = threading.Lock()
 
     def set_targets(self, targets: Iterable[str]) -> None:
-        """Say which targets the service has; others are forgotten."""
+        """Set the targets of the service; drop the circuits of all others."""
         with self._lock:
             self._circuits = {
                 target: self._circuits.get(target, _Circuit()) for target in targets
             }
 
     def is_open(self, target: str) -> bool:
-        """Tell whether `target` may not be chosen now.
+        """Return whether the circuit rejects requests to `target` now.
 
-        After its pause an open circuit lets the next attempt through as a probe;
-        `sent` says that it has gone.
+        After its pause an open circuit lets the next attempt through as a probe, which
+        `record_attempt` records.
         """
         with self._lock:
             circuit = self._circuits.get(target)
@@ -130,7 +147,7 @@
             return self._clock.monotonic() < circuit.until
 
     def record_attempt(self, target: str) -> CircuitChange | None:
-        """Note that an attempt goes to `target`; it may be a circuit's probe."""
+        """Record an attempt at `target`, a probe if the circuit's pause is over."""
         with self._lock:
             circuit = self._circuits.get(target)
             now = self._clock.monotonic()
@@ -140,23 +157,30 @@
             circuit.until = now + self._settings.probe_timeout
             return CircuitChange(target, "half_open", "probe")
 
-    def record_result(self, target: str, found: Evidence) -> CircuitChange | None:
-        """Take evidence about `target`; return a change of state."""
-        if found == "none":
+    def record_result(self, target: str, evidence: Evidence) -> CircuitChange | None:
+        """Record the result of an attempt at `target`; return a change of state.
+
+        Parameters
+        ----------
+        target : str
+        evidence : {"success", "failure", "none"}
+            What the result says about the target's health.
+        """
+        if evidence == "none":
             return self._release_probe(target)
         with self._lock:
             circuit = self._circuits.setdefault(target, _Circuit())
             circuit.decay(self._clock.monotonic(), self._settings.window)
             circuit.results += 1
-            if found == "success":
+            if evidence == "success":
                 return self._record_success(target, circuit)
             return self._record_failure(target, circuit)
 
     def record_answer_begun(self, target: str) -> CircuitChange | None:
-        """Note that a request has begun to be answered; a probe closes the circuit.
+        """Record that `target` has begun an answer; after a probe the circuit closes.
 
-        What is streamed lasts for seconds, in which the target would stay empty. The
-        next pause still doubles until a request has ended in success.
+        A stream lasts for seconds, during which the target would otherwise get no
+        requests. The next pause still doubles until a request has succeeded.
         """
         with self._lock:
             circuit = self._circuits.get(target)
@@ -173,7 +197,7 @@
             return circuit.state if circuit else "closed"
 
     def _release_probe(self, target: str) -> None:
-        """Let another probe go at once: the last one proved nothing."""
+        """Allow another probe at once, as the last one gave no evidence."""
         with self._lock:
             circuit = self._circuits.get(target)
             if circuit is not None and circuit.state == "half_open":
@@ -219,15 +243,15 @@
         )
 
     def _may_eject(self) -> bool:
-        ejected = sum(c.state != "closed" for c in self._circuits.values())
+        ejected = sum(circuit.state != "closed" for circuit in self._circuits.values())
         allowed = math.floor(self._settings.ejected_share * len(self._circuits))
         return ejected < allowed
 
 
 def jittered(ceiling: float, random: Random) -> float:
-    """Return a pause between half of `ceiling` and `ceiling`.
+    """Return a random pause between half of `ceiling` and `ceiling`.
 
-    A circuit's pause keeps a floor, because a pause near zero would send the probe
-    to a target that has just failed.
+    The lower bound is needed because a pause near zero would send the probe to a target
+    that has just failed.
     """
     return ceiling * random.uniform(0.5, 1.0)
--- a/src/wigeonfront/targets/table.py
+++ b/src/wigeonfront/targets/table.py
@@ -1,7 +1,7 @@
-"""The targets that a process knows, with the load and the failures it has seen.
+"""The targets that a process knows, with their observed load and failures.
 
-`TargetTable` is the one place where registrations and answers meet; the placement
-functions read immutable `TargetView` objects of it.
+`TargetTable` combines registrations with what this process learns from answers. The
+placement functions read immutable `TargetView` snapshots of it.
 """
 
 import logging
@@ -25,11 +25,12 @@
 logger = logging.getLogger(__name__)
 
 LATENCY_WEIGHT = 0.2
-"""Weight of the newest answer in the smoothed latency: some ten answers count."""
+"""Weight of the newest answer in the smoothed latency, to which about ten answers
+contribute."""
 
 LATENCY_TTL_SECONDS = 10.0
-"""Time after which a latency counts as unknown: a target that was slow gets no work
-and is not measured, and would else count as slow for ever."""
+"""Time after which a measured latency counts as unknown. A slow target gets no work and
+so is not measured again; without this limit it would count as slow for ever."""
 
 CIRCUIT_SETTINGS = CircuitSettings(
     consecutive=2,
@@ -41,29 +42,29 @@
     probe_timeout=3.0,
     ejected_share=0.7,
 )
-"""Two failures in a row take a target out for 0.3 to 0.6 s: a service has few targets,
-and a crashed one is back within seconds."""
+"""Two consecutive failures eject a target for 0.3 to 0.6 s, because a service has few
+targets and a crashed one is back within seconds."""
 
 PROBE_SECONDS = 0.3
-"""Pause between two requests that find out whether a target takes work for a model
-again: a third of the time that a load of weights takes."""
+"""Interval between two requests that probe whether a target accepts work for a model
+again: a third of the time that loading weights takes."""
 
 EXPECTED_LOAD_SECONDS = 8.0
-"""How long an engine that is to load a version is taken to be about to: the longest
-samples, which may have to end first, and the load take less."""
+"""How long an engine that has to load a version is expected to be about to do so. The
+longest samples, which may have to end first, and the load together take less."""
 
 REPLACED_SECONDS = 4.0
-"""How long a target gets no work once another incarnation has answered at its address:
-by then the store has dropped the registration of the one that is gone."""
-
+"""How long a target gets no work after another incarnation has answered at its address.
+By then the store has dropped the registration of the incarnation that is gone."""
 
 MAX_CANDIDATES = 128
-"""Engines among which a place is looked for first: more than the samples of a Lot need,
-and few enough that neither the search nor the connections grow with the service."""
+"""Number of engines among which a free slot is sought first. It is more than the samples
+of a Lot need, and low enough that neither the search nor the number of connections
+grows with the service."""
 
 ASSUMED_OWNERS = 1
-"""Other owners that are taken to send runs as this one does, until they tell: trainers
-ask for steps at the same moments."""
+"""Number of other owners that are assumed to send as many runs as this one until they
+report theirs, because trainers ask for steps at the same moments."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,15 +79,15 @@
     in_flight: int = 0
     latency: float = 0.0
     measured_at: float = 0.0
-    # Its latency is the pace of runs.
-    paced: bool = False
-    # Runs of other owners, and own ones of which they could not tell yet.
+    # Whether the latency is the pace of runs: the seconds per event of a stream.
+    latency_is_pace: bool = False
+    # Runs that other owners reported, and runs of this process since that report.
     others: int = 0
-    recent: int = 0
+    runs_since_report: int = 0
     replaced_until: float = 0.0
-    # A request of this process went to it.
+    # Whether a request of this process went to the target.
     used: bool = False
-    # Models of which it is unknown whether the target takes work again.
+    # Models for which the target has to be probed, as it may accept no work for them.
     probed: set[str] = field(default_factory=set)
     loads: dict[str, _ExpectedLoad] = field(default_factory=dict)
     versions: dict[str, int] = field(default_factory=dict)
@@ -94,20 +95,21 @@
 
 
 class TargetTable:
-    """The targets of all services; all methods may be called from any thread.
+    """The targets of all services and their state; thread-safe.
 
     Parameters
     ----------
     clock : Clock
     random : random.Random
-        Source of the circuits' jitter.
+        Source of the jitter in circuit breakers' pauses.
     name : str
-        Of this process; it decides which targets of a large service it uses first.
+        Name of this process, which decides which targets of a large service it uses
+        first.
     """
 
     def __init__(self, clock: Clock, random: Random, name: str = "") -> None:
         self._name = name
-        # Targets of each service in the order in which this process uses them.
+        # The targets of each service in the order in which this process prefers them.
         self._by_service: dict[str, list[_State]] = {}
         self._clock = clock
         self._random = random
@@ -117,12 +119,12 @@
         self._other_owners = 0
 
     def set_targets(self, targets: Iterable[Target]) -> None:
-        """Take `targets` as all that there are."""
+        """Set all known targets; drop the state of targets that are not among them."""
         with self._lock:
-            fresh = {target.id: target for target in targets}
-            for id in [id for id in self._states if id not in fresh]:
+            registered = {target.id: target for target in targets}
+            for id in [id for id in self._states if id not in registered]:
                 del self._states[id]
-            for id, target in fresh.items():
+            for id, target in registered.items():
                 state = self._states.get(id)
                 if state is None:
                     state = self._states[id] = _State(target)
@@ -145,58 +147,63 @@
     def _preference(self, id: str) -> int:
         return crc32(f"{self._name} {id}".encode())
 
-    def views(self, service: str, most: int | None = None) -> list[TargetView]:
-        """Return the targets of `service`.
+    def views(self, service: str, limit: int | None = None) -> list[TargetView]:
+        """Return views of the targets of `service`.
 
         Parameters
         ----------
-        most : int, optional
-            Only so many, the same ones each time and others for each process.
+        service : str
+        limit : int, optional
+            Maximum number of targets. In a service of more than `MAX_CANDIDATES`
+            targets a process gets the same ones each time, and each process gets
+            others.
         """
         with self._lock:
             now = self._clock.monotonic()
-            states = self._by_service.get(service, [])[:most]
+            states = self._by_service.get(service, [])[:limit]
             return [self._view(state, now) for state in states]
 
     def all_targets(self) -> list[Target]:
-        """Return every target."""
+        """Return the targets of all services."""
         with self._lock:
             return [state.target for state in self._states.values()]
 
     def was_used(self, id: str) -> bool:
-        """Tell whether a request of this process went to the target."""
+        """Return whether this process has sent a request to the target `id`."""
         with self._lock:
             state = self._states.get(id)
             return state is not None and state.used
 
     def get(self, id: str) -> Target | None:
-        """Return the target `id`, if it is known."""
+        """Return the target `id`, or ``None`` if it is not known."""
         with self._lock:
             state = self._states.get(id)
             return state.target if state else None
 
     def record_started(self, id: str, model: str = "") -> None:
-        """Note that a request goes to the target.
+        """Record that a request is being sent to the target.
 
         Parameters
         ----------
+        id : str
+            Id of the target.
         model : str
-            Model that it needs, if any. After a refusal one request at a time finds
-            out whether the target takes work for the model again.
+            The model that the request needs, if any. After a refusal one request at a
+            time probes whether the target accepts work for the model again.
         """
         with self._lock:
             state = self._states.get(id)
             if state is None:
                 return
             state.in_flight += 1
-            first = not state.used
+            first_use = not state.used
             state.used = True
             if model:
-                state.recent += 1
+                state.runs_since_report += 1
             if model in state.probed:
                 state.refused_until[model] = self._clock.monotonic() + PROBE_SECONDS
             change = self._circuits_of(state.target.service).record_attempt(id)
-        if first:
+        if first_use:
             event(
                 logger,
                 "target_used",
@@ -206,15 +213,17 @@
             )
         self._log(change)
 
-    def record_ended(self, id: str, found: Evidence, latency: float = 0.0) -> None:
-        """Note how a request to the target ended.
+    def record_ended(self, id: str, evidence: Evidence, latency: float = 0.0) -> None:
+        """Record how a request to the target ended.
 
         Parameters
         ----------
-        found : {"success", "failure", "none"}
-            What it says about the target's health.
+        id : str
+            Id of the target.
+        evidence : {"success", "failure", "none"}
+            What the outcome says about the target's health.
         latency : float
-            Seconds that the answer took; 0 not to count it.
+            Seconds that the answer took; 0 if it must not count.
         """
         with self._lock:
             state = self._states.get(id)
@@ -223,16 +232,16 @@
             state.in_flight = max(0, state.in_flight - 1)
             if latency > 0:
                 self._measure(state, latency)
-            change = self._circuits_of(state.target.service).record_result(id, found)
+            change = self._circuits_of(state.target.service).record_result(id, evidence)
         self._log(change)
 
     def record_pace(self, id: str, latency: float) -> None:
-        """Take the pace of a run in progress as the target's latency."""
+        """Record the pace of a run in progress as the target's latency in seconds."""
         with self._lock:
             state = self._states.get(id)
             if state is not None:
                 self._measure(state, latency)
-                state.paced = True
+                state.latency_is_pace = True
 
     def _measure(self, state: _State, latency: float) -> None:
         now = self._clock.monotonic()
@@ -241,44 +250,44 @@
         state.measured_at = now
 
     def _latency(self, state: _State, now: float) -> float:
-        fresh = now - state.measured_at < LATENCY_TTL_SECONDS
-        return state.latency if fresh else 0.0
+        known = now - state.measured_at < LATENCY_TTL_SECONDS
+        return state.latency if known else 0.0
 
     def engine_states(self) -> list[EngineState]:
-        """Return what this process knows of engines that it uses or has used."""
+        """Return the states of engines with runs of this process or a known pace."""
         with self._lock:
             now = self._clock.monotonic()
-            found = [
+            states = [
                 EngineState(
                     id,
                     state.in_flight if state.target.versions else 0,
-                    self._latency(state, now) if state.paced else 0.0,
+                    self._latency(state, now) if state.latency_is_pace else 0.0,
                     now - state.measured_at,
                 )
                 for id, state in self._states.items()
             ]
-        return [state for state in found if state.runs or state.pace]
+        return [state for state in states if state.runs or state.pace]
 
     def set_other_owners(self, others: OtherOwnersReport) -> None:
-        """Take what other owners know, in place of what they told before."""
+        """Replace what other owners have reported by their newest reports."""
         with self._lock:
             now = self._clock.monotonic()
             self._other_owners = others.owners
             for state in self._states.values():
                 state.others = 0
-                state.recent = 0
-            for told in others.states:
-                state = self._states.get(told.target)
+                state.runs_since_report = 0
+            for reported in others.states:
+                state = self._states.get(reported.target)
                 if state is None:
                     continue
-                state.others += told.runs
-                if told.pace and now - told.age > state.measured_at:
-                    state.latency = told.pace
-                    state.measured_at = now - told.age
-                    state.paced = True
+                state.others += reported.runs
+                if reported.pace and now - reported.age > state.measured_at:
+                    state.latency = reported.pace
+                    state.measured_at = now - reported.age
+                    state.latency_is_pace = True
 
     def record_refused(self, id: str, model: str) -> None:
-        """Note that the target takes no work for `model` now."""
+        """Record that the target has refused work for `model`."""
         with self._lock:
             state = self._states.get(id)
             if state is not None:
@@ -286,7 +295,7 @@
                 state.probed.add(model)
 
     def expect_load(self, id: str, model: str, version: int) -> None:
-        """Note that the target is to load `version` and may take no work meanwhile."""
+        """Record that the target has to load `version` and may refuse work until then."""
         with self._lock:
             state = self._states.get(id)
             if state is not None:
@@ -295,7 +304,7 @@
                 state.probed.add(model)
 
     def record_accepted(self, id: str, model: str) -> None:
-        """Note that the target has begun to answer a request for `model`."""
+        """Record that the target has begun to answer a request for `model`."""
         with self._lock:
             state = self._states.get(id)
             if state is None:
@@ -307,10 +316,10 @@
         self._log(change)
 
     def record_version(self, id: str, model: str, version: int) -> None:
-        """Note the version under which the target answers for `model`.
+        """Record the version with which the target answers for `model`.
 
-        It may be lower than the one known: an order that is carried out late, after a
-        restart, takes an engine back.
+        The version may be lower than the known one: an order that is executed late,
+        after a restart, takes an engine back to an older version.
         """
         with self._lock:
             state = self._states.get(id)
@@ -318,7 +327,7 @@
                 state.versions[model] = version
 
     def record_replaced(self, id: str) -> None:
-        """Note that another incarnation answered at the target's address."""
+        """Record that another incarnation has answered at the target's address."""
         with self._lock:
             state = self._states.get(id)
             if state is None:
@@ -335,7 +344,7 @@
 
     def _view(self, state: _State, now: float) -> TargetView:
         id = state.target.id
-        unseen = ASSUMED_OWNERS * state.recent if self._other_owners else 0
+        assumed = ASSUMED_OWNERS * state.runs_since_report if self._other_owners else 0
         circuits = self._circuits_of(state.target.service)
         return TargetView(
             target=state.target,
@@ -350,7 +359,7 @@
                 for model, load in state.loads.items()
                 if now < load.until and state.versions.get(model, 0) < load.version
             ),
-            others=state.others + unseen,
+            others=state.others + assumed,
         )
 
     def _log(self, change: CircuitChange | None) -> None:
--- a/src/wigeonfront/targets/target.py
+++ b/src/wigeonfront/targets/target.py
@@ -1,4 +1,4 @@
-"""The targets that are registered, as data; see `wigeonfront.targets.table`."""
+"""A registered target as data; its state is in `wigeonfront.targets.table`."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -11,24 +11,26 @@
     Attributes
     ----------
     id : str
-        Of this incarnation; a restart gives another. All that is believed of a target
-        is kept by it, so nothing outlives a restart.
+        Identifies this incarnation; a restart gives the target another one. The table
+        keeps its state of a target under this id, so no state outlives a restart.
     service : str
     address : str
         ``host:port``.
     failure_domain : str
     slots : int
-        Requests that it runs at once.
+        Number of requests that the target runs at once.
     draining : bool
-        It takes no new work.
+        Whether the target accepts no new work.
     cold_seconds : float
-        How much longer it was to be slow after its start, when it registered.
+        Remaining time for which the target expected, when it registered, to be slow
+        after its start.
     versions : mapping of str to int
-        Version of each model's weights when it registered.
+        Version of each model's weights when the target registered.
     registered_id : str
-        Under which it registers, also after a restart; `id` where that is empty.
+        Id under which the target registers, which a restart doesn't change. If it is
+        empty, the target registers under `id`.
     started_ms : int
-        Unix time of its start in milliseconds; 0 if it does not tell.
+        Unix time in milliseconds at which the target started; 0 if it is unknown.
     """
 
     id: str
@@ -44,5 +46,5 @@
 
     @property
     def name(self) -> str:
-        """The id by which the target itself goes."""
+        """The id under which the target registers; the same after a restart."""
         return self.registered_id or self.id
--- a/src/wigeonfront/targets/views.py
+++ b/src/wigeonfront/targets/views.py
@@ -1,4 +1,4 @@
-"""What is known of targets at one moment."""
+"""Immutable snapshots of what this process knows about targets."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,17 +8,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What one owner of Lots knows of an engine.
+    """What one owner of Lots knows about an engine.
 
     Attributes
     ----------
     target : str
+        Id of the engine.
     runs : int
-        Its own requests there that have not ended.
+        In-flight requests of this owner at the engine.
     pace : float
-        Smoothed seconds for an event of a stream; 0 if unknown.
+        Smoothed seconds per event of a stream; 0 if unknown.
     age : float
-        Seconds since the pace was taken last.
+        Seconds since the last measurement of the pace.
     """
 
     target: str
@@ -29,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherOwnersReport:
-    """What the other owners know of engines, at one moment.
+    """What the other owners of Lots report about engines, at one moment.
 
     Attributes
     ----------
     owners : int
-        Owners that were asked, whether they told or not.
+        Number of owners that were asked, including those that did not answer.
     states : list of EngineState
-        Those that they told.
+        The states that the owners reported.
     """
 
     owners: int
@@ -45,26 +46,28 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetView:
-    """A target at one moment.
+    """The state of a target at one moment, for placement decisions.
 
     Attributes
     ----------
     target : Target
     in_flight : int
-        Requests of this process that it has not finished.
+        Requests of this process that the target has not finished.
     latency : float
-        Smoothed seconds for an answer, or for an event of a stream; 0 if unknown.
+        Smoothed seconds per answer, or per event of a stream; 0 if unknown.
     available : bool
-        Its circuit lets requests through.
+        Whether the circuit breaker lets requests through and no other incarnation has
+        answered lately at the target's address.
     draining : bool
+        Whether the target accepts no new work.
     versions : mapping of str to int
-        Versions last seen; empty if unknown.
+        Version last seen of each model; empty if unknown.
     refused_until : dict of str to float
-        Monotonic time until which it takes no work for a model.
+        Monotonic time until which the target gets no work for a model.
     loading : frozenset of str
-        Models whose weights it is about to change.
+        Models of which the target is about to load other weights.
     others : int
-        Runs of other owners of Lots there, as far as known.
+        Runs of other owners of Lots at the target, as far as this process knows.
     """
 
     target: Target
@@ -79,10 +82,10 @@
 
     @property
     def free_slots(self) -> int:
-        """Places free of own requests; negative while these wait there."""
+        """Slots not used by this process; negative while its requests queue there."""
         return self.target.slots - self.in_flight
 
     @property
     def load(self) -> int:
-        """Requests there of this process and of other owners."""
+        """Requests of this process and of other owners at the target."""
         return self.in_flight + self.others
