--- a/src/wigeonfront/accounts/__init__.py
+++ b/src/wigeonfront/accounts/__init__.py
@@ -1,8 +1,9 @@
-"""Who calls: client accounts, their API keys, and whether a call may run.
+"""Authentication of calls: client accounts, their API keys, and admission.
 
-`directory` finds the account that holds a key; `authorization` reads the key of a
-call; `admission` decides, without a network, whether a call is taken. It starts no
-tasks and has no locks: a directory never changes, a new configuration brings another.
+`directory` finds the account that holds a key, `authorization` reads the key of a call,
+`admission` decides without network access whether a call is accepted, and `gate` also
+counts and logs the refused ones. The package starts no tasks and has no locks: a
+directory is immutable, and a new configuration brings a new one.
 """
 
 from wigeonfront.accounts.admission import (
--- a/src/wigeonfront/accounts/admission.py
+++ b/src/wigeonfront/accounts/admission.py
@@ -1,10 +1,10 @@
-"""Decides whether a call is taken, by its key and the age of what is known of keys.
+"""Decides whether a call is accepted, by its key and the age of the configuration.
 
-A key that is unknown here may have been added since this process last heard of the
-configuration. Callers don't repeat a call that got 401, so an old copy of the
-configuration refuses for a moment only, and callers find another entry. A key that is
-known goes on being served from an old copy, unless the operators want revoked keys
-stopped for certain (`AdmissionBounds.strict`).
+A key that is unknown here may have been added since this process last read the
+configuration. Callers don't retry a call that got 401. So with an old copy of the
+configuration an unknown key gets only a temporary refusal, and callers find another
+entry. Calls with a known key are still served from an old copy, unless the operators
+require that revoked keys stop working (`AdmissionBounds.strict`).
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 from wigeonfront.accounts.directory import AccountDirectory, fingerprint
 
 RETRY_SECONDS = 0.5
-"""When a call that can't be decided may come back: the pause after which an entry has
+"""Time after which a caller may retry a call that can't be decided: by then an entry has
 found another source of the configuration."""
 
 
@@ -24,10 +24,12 @@
     Attributes
     ----------
     fresh_seconds : float
-        Age up to which an unknown key is unknown for certain.
+        Maximum age at which a key that the copy lacks counts as unknown for good.
     strict : bool
-        Calls with a key are refused once the copy is older than `revoke_seconds`.
+        Whether calls with a key are refused once the copy is older than
+        `revoke_seconds`.
     revoke_seconds : float
+        Maximum age of the copy if `strict` is set.
     """
 
     fresh_seconds: float = 2.0
@@ -37,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The call is taken.
+    """The call is accepted.
 
     Attributes
     ----------
     account : str
-        That it is made for; empty for none.
+        Name of the client account; empty if the call has none.
     priority : int or None
-        Of the account.
+        Priority of the account; ``None`` for that of the route.
     """
 
     account: str = ""
@@ -53,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Unauthenticated:
-    """The call brings no key that counts; another try would not either.
+    """The call has no valid key, so a retry can't succeed.
 
     Attributes
     ----------
     reason : str
         ``no_key``, ``malformed`` or ``unknown_key``.
     fingerprint : str
-        Of the key; empty for none.
+        Fingerprint of the key; empty if no key could be read.
     """
 
     reason: str
@@ -69,15 +71,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Undecided:
-    """The copy of the configuration is too old to tell.
+    """The copy of the configuration is too old to decide about the key.
 
     Attributes
     ----------
     reason : str
-        ``unknown_key`` or ``unconfirmed``.
+        ``unknown_key``, or ``unconfirmed`` where `AdmissionBounds.strict` is set.
     fingerprint : str
+        Fingerprint of the key.
     retry_after : float
-        Seconds.
+        Seconds after which the caller may retry.
     """
 
     reason: str
@@ -95,16 +98,16 @@
     age: float,
     bounds: AdmissionBounds,
 ) -> Admission:
-    """Return whether a call is taken, and for which account.
+    """Return whether a call is accepted, and for which account.
 
     Parameters
     ----------
     directory : AccountDirectory or None
-        ``None`` where the configuration has no accounts: all calls are taken.
+        ``None`` if the configuration has no accounts; then all calls are accepted.
     public : bool
-        The call needs no key; one that it brings still names its account.
+        Whether the call needs no key. A known key still sets the call's account.
     header : str
-        Value of the call's ``Authorization`` header.
+        Value of the call's ``Authorization`` header; empty if it has none.
     age : float
         Seconds by which the directory may be behind the store.
     bounds : AdmissionBounds
--- a/src/wigeonfront/accounts/authorization.py
+++ b/src/wigeonfront/accounts/authorization.py
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NoKey:
-    """The call brings no key."""
+    """The call has no key."""
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedKey:
-    """The call's header is of another scheme, comes twice or can't be read."""
+    """The header has another scheme, comes more than once or can't be parsed."""
 
 
 def read_key(header: str) -> str | NoKey | MalformedKey:
@@ -35,7 +35,8 @@
     Parameters
     ----------
     header : str
-        Empty where there is none; the values of several joined by commas.
+        Value of the header; empty if there is none. The values of several headers are
+        joined by commas.
     """
     text = header.strip(" \t")
     if not text:
--- a/src/wigeonfront/accounts/directory.py
+++ b/src/wigeonfront/accounts/directory.py
@@ -1,6 +1,6 @@
-"""The client accounts of a configuration, found by their API keys.
+"""Lookup of the client accounts of a configuration by their API keys.
 
-Keys are held as digests only: a directory that is logged or dumped shows none, and a
+Keys are held only as digests: a directory that is logged or dumped shows no key, and a
 lookup takes the same time whichever part of a key is wrong.
 
 Examples
@@ -24,26 +24,28 @@
 FINGERPRINT_BYTES = 4
 
 MAX_KEY_LENGTH = 1_024
-"""Characters of a key: a quarter of what many servers take as one header."""
+"""Maximum number of characters of a key: a quarter of what many servers accept as one
+header."""
 
 MAX_NAME_LENGTH = 64
-"""Characters of an account's name, which is part of the store's keys."""
+"""Maximum number of characters of an account's name, which is part of store keys."""
 
 KEY_PATTERN = re.compile(r"[A-Za-z0-9._~+/-]+=*")
-"""What can stand in a header as a bearer token (RFC 6750, section 2.1)."""
+"""Syntax of a bearer token in a header (RFC 6750, section 2.1)."""
 
 NAME_PATTERN = re.compile(r"[!-~]+")
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """An account that calls are made for.
+    """An account on whose behalf callers call.
 
     Attributes
     ----------
     name : str
     priority : int or None
-        0 is the most urgent; it goes before that of a route. ``None`` for the route's.
+        Priority of the account's requests, which overrides that of a route; 0 is the
+        most urgent. ``None`` for the route's priority.
     """
 
     name: str
@@ -52,17 +54,23 @@
 
 @dataclass(frozen=True, slots=True)
 class BadAccounts:
-    """Accounts that contradict each other, or that no call can use."""
+    """The accounts contradict each other, or have names or keys that no call can use.
+
+    Attributes
+    ----------
+    reason : str
+    """
 
     reason: str
 
 
 class AccountDirectory:
-    """Accounts by their keys; use `make_directory`.
+    """Immutable map from keys to accounts; `make_directory` builds it.
 
     Parameters
     ----------
     by_digest : mapping of bytes to ClientAccount
+        The accounts by the digests of their keys.
     """
 
     def __init__(self, by_digest: Mapping[bytes, ClientAccount]) -> None:
@@ -72,14 +80,14 @@
         return len(self._by_digest)
 
     def find(self, key: str) -> ClientAccount | None:
-        """Return the account that holds `key`."""
+        """Return the account that holds `key`, or ``None``."""
         return self._by_digest.get(_digest(key))
 
 
 def make_directory(
     accounts: Iterable[tuple[ClientAccount, Iterable[str]]],
 ) -> AccountDirectory | BadAccounts:
-    """Return the directory of accounts with their keys, or what is wrong with them."""
+    """Return the directory of accounts and their keys, or why they are invalid."""
     by_digest: dict[bytes, ClientAccount] = {}
     names: set[str] = set()
     for account, keys in accounts:
@@ -96,14 +104,16 @@
 
 
 def fingerprint(key: str) -> str:
-    """Return what logs and operators see of a key: eight hexadecimal digits."""
+    """Return eight hexadecimal digits that stand for a key in logs and listings."""
     return blake2b(key.encode(), digest_size=FINGERPRINT_BYTES).hexdigest()
 
 
 def _invalid_name_reason(name: str, names: set[str]) -> str:
     if not NAME_PATTERN.fullmatch(name) or len(name) > MAX_NAME_LENGTH:
-        return f"account name {name[:MAX_NAME_LENGTH]!r} is empty, too long or malformed"
-    return f"account {name} stands twice" if name in names else ""
+        return (
+            f"account name {name[:MAX_NAME_LENGTH]!r} is empty, too long or malformed"
+        )
+    return f"account {name} is defined twice" if name in names else ""
 
 
 def _invalid_key_reason(
--- a/src/wigeonfront/accounts/gate.py
+++ b/src/wigeonfront/accounts/gate.py
@@ -1,4 +1,4 @@
-"""Checks the keys of calls, and tells operators of those that were refused."""
+"""Checks the keys of calls, and counts and logs the refused ones for operators."""
 
 import logging
 from collections.abc import Callable
@@ -17,12 +17,12 @@
 logger = logging.getLogger(__name__)
 
 LOG_INTERVAL_SECONDS = 1.0
-"""Least time between two log lines about refused keys: a flood of bad keys must not
-crowd out the other lines."""
+"""Minimum time between two log lines about refused keys, so that a flood of bad keys
+doesn't displace other log lines."""
 
 
 class AccountGate:
-    """Decides on each call that brings a key, or should.
+    """Decides about each call by its key; counts and logs refused calls.
 
     Parameters
     ----------
@@ -56,14 +56,14 @@
         public: bool,
         header: str,
     ) -> Admission:
-        """Return whether a call is taken, and for which account.
+        """Return whether a call is accepted, and for which account.
 
         Parameters
         ----------
         directory : AccountDirectory or None
-            Of the configuration in force.
+            Directory of the configuration in force.
         version : int
-            Of that configuration, for the log.
+            Version of that configuration, for the log.
         public, header
             As for `admit`.
         """
--- a/src/wigeonfront/targets/table.py
+++ b/src/wigeonfront/targets/table.py
@@ -58,9 +58,8 @@
 By then the store has dropped the registration of the incarnation that is gone."""
 
 MAX_CANDIDATES = 128
-"""Number of engines among which a free slot is sought first. It is more than the samples
-of a Lot need, and low enough that neither the search nor the number of connections
-grows with the service."""
+"""Number of engines among which a free slot is sought first. The samples of a Lot need
+fewer, and neither the search nor the number of connections grows with the service."""
 
 ASSUMED_OWNERS = 1
 """Number of other owners that are assumed to send as many runs as this one until they
@@ -295,7 +294,7 @@
                 state.probed.add(model)
 
     def expect_load(self, id: str, model: str, version: int) -> None:
-        """Record that the target has to load `version` and may refuse work until then."""
+        """Record that the target is to load `version` and may refuse work meanwhile."""
         with self._lock:
             state = self._states.get(id)
             if state is not None:
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(
     ("accounts", "reason"),
     [
-        ([(STUDIO, ["k1"]), (STUDIO, ["k2"])], "account studio stands twice"),
+        ([(STUDIO, ["k1"]), (STUDIO, ["k2"])], "account studio is defined twice"),
         ([(STUDIO, ["k1"]), (OTHER, ["k1"])], "accounts studio and other share"),
         ([(STUDIO, ["k1", "k1"])], "account studio has the key"),
         ([(STUDIO, [""])], "account studio has a key that is empty"),
