--- a/src/wigeonfront/accounts/admission.py
+++ b/src/wigeonfront/accounts/admission.py
@@ -13,8 +13,8 @@
 from wigeonfront.accounts.directory import AccountDirectory, fingerprint
 
 RETRY_SECONDS = 0.5
-"""Time after which a caller may retry a call that can't be decided: by then an entry has
-found another source of the configuration."""
+"""Time after which a caller may retry a call that can't be decided: by then the entry
+has found another source of the configuration."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/wigeonfront/usage/__init__.py
+++ b/src/wigeonfront/usage/__init__.py
@@ -1,12 +1,14 @@
-"""Reports how many requests of each client account began in each window of time.
+"""Reports how many requests of each client account started in each window of time.
 
-Each entry notes the requests that it sends to targets (`starts`) and copies the notes
-to another entry (`backup`), so that they outlive it. One machine holds the duty: it
-collects the notes of all entries (`collection`), fixes the counts of a window in the
-store before it sends them (`ledger`), and sends them until they are taken
-(`reporting`). `windows` decides which windows are counted when.
+Each entry records the starts of the requests that it sends to targets (`starts`) and
+copies these records to another entry (`backup`), so that they survive its own end. One
+machine holds the usage duty. It collects the starts of all entries (`collection`),
+commits the counts of a window to the store before it sends them (`ledger`), and sends
+them until the platform accepts them (`reporting`). `windows` decides which windows are
+counted when. A window whose counts are committed is called fixed.
 
-Tasks for the caller's supervisor: `StartBackup.run` and `UsageReporter.run`.
+The package has two tasks for the caller's supervisor: `StartBackup.run` and
+`UsageReporter.run`.
 """
 
 from wigeonfront.usage.starts import Start, StartLog, StartNote
--- a/src/wigeonfront/usage/backup.py
+++ b/src/wigeonfront/usage/backup.py
@@ -1,4 +1,4 @@
-"""Copies this process's starts to another entry, so that they outlive it."""
+"""Copies the starts of this process to another entry, so that they survive its end."""
 
 import logging
 import threading
@@ -8,29 +8,29 @@
 from wigeonfront.coordination import rendezvous
 from wigeonfront.coordination.membership import Member
 from wigeonfront.observability.logs import event
-from wigeonfront.usage.calls import AgedStart, CopyStarts, StartClient, ProcessStarts
+from wigeonfront.usage.calls import AgedStart, CopyStarts, ProcessStarts, StartClient
 from wigeonfront.usage.starts import StartLog
 
 logger = logging.getLogger(__name__)
 
 COPY_INTERVAL_SECONDS = 0.2
-"""Time in which starts gather: what a process that is killed takes with it."""
+"""Interval between copies. A process that is killed loses the starts since the last."""
 
-FAILED_HOLDER_PAUSE_SECONDS = 2.0
-"""How long an entry that did not take copies is passed over."""
+FAILED_ENTRY_PAUSE_SECONDS = 2.0
+"""How long no copies are sent to an entry that did not accept some."""
 
 
 class StartBackup:
-    """Keeps copies of the starts at another entry.
+    """Keeps copies of the starts of this process at another entry.
 
     Parameters
     ----------
     log : StartLog
     client : StartClient
     me : callable
-        Returns this process as a member.
+        Returns the membership record of this process.
     members : callable
-        Returns the entries that live.
+        Returns the membership records of the live entries.
     clock : Clock
     """
 
@@ -47,61 +47,80 @@
         self._me = me
         self._members = members
         self._clock = clock
+        # Incarnation of the entry that holds the copies; empty if there is none.
         self._holder = ""
-        self._copied = 0
+        # Number of the newest start that is copied.
+        self._last_copied = 0
         self._withdrawn: list[int] = []
-        self._avoided: dict[str, float] = {}
+        # Monotonic time until which each address gets no copies.
+        self._avoided_until: dict[str, float] = {}
 
     def run(self, stop: threading.Event) -> None:
-        """Copy what is new (a supervisor's task)."""
+        """Copy new starts until `stop` is set (a supervisor's task)."""
         while not stop.wait(COPY_INTERVAL_SECONDS):
             self.copy()
 
     def copy(self) -> None:
-        """Copy what is new; all of it to an entry that has not held them before."""
-        self._withdrawn += [one.number for one in self._log.pop_withdrawn()]
-        starts = self._log.after(self._copied)
+        """Copy new starts, or all kept ones to an entry that held no copies before."""
+        self._withdrawn += [start.number for start in self._log.pop_withdrawn()]
+        starts = self._log.after(self._last_copied)
         if not starts and not self._withdrawn:
             return
         member = self._choose()
         if member is None:
             return
         if member.incarnation != self._holder:
-            self._holder, self._copied = member.incarnation, 0
+            self._holder, self._last_copied = member.incarnation, 0
             starts = self._log.after(0)
         now = self._clock.boottime()
-        aged = [AgedStart(one.number, one.account, now - one.at) for one in starts]
-        copies = CopyStarts(ProcessStarts(self._me().incarnation, aged), self._withdrawn)
+        aged = [
+            AgedStart(start.number, start.account, now - start.at) for start in starts
+        ]
+        copies = CopyStarts(
+            ProcessStarts(self._me().incarnation, aged), self._withdrawn
+        )
         if self._client.copy(member.address, copies):
-            self._copied = max((self._copied, *(one.number for one in starts)))
+            self._last_copied = max(
+                (self._last_copied, *(start.number for start in starts))
+            )
             self._withdrawn = []
             return
-        self._avoided[member.address] = self._clock.monotonic() + FAILED_HOLDER_PAUSE_SECONDS
+        self._avoided_until[member.address] = (
+            self._clock.monotonic() + FAILED_ENTRY_PAUSE_SECONDS
+        )
         self._holder = ""
         event(logger, "starts_not_copied", to=member.name, starts=len(starts))
 
     def _choose(self) -> Member | None:
         now = self._clock.monotonic()
         usable = [
-            one
-            for one in self._members()
-            if self._avoided.get(one.address, 0.0) <= now and not one.leaving
+            member
+            for member in self._members()
+            if self._avoided_until.get(member.address, 0.0) <= now
+            and not member.leaving
         ]
         return copy_holder(self._me(), usable)
 
 
 def copy_holder(me: Member, members: Collection[Member]) -> Member | None:
-    """Return the entry that holds a process's copies; ``None`` where there is none.
+    """Return the entry that holds the copies of a process, or ``None``.
 
-    It is in the same failure domain if it can be: copies are many and small, and a
+    An entry of the same failure domain is preferred: copies are many and small, and a
     failure domain is lost less often than a machine.
+
+    Parameters
+    ----------
+    me : Member
+        The process whose starts are copied.
+    members : collection of Member
+        Entries that may hold copies.
     """
-    others = {one.name: one for one in members if one.name != me.name}
-    near = {
-        name: one
-        for name, one in others.items()
-        if one.failure_domain == me.failure_domain
+    others = {member.name: member for member in members if member.name != me.name}
+    same_domain = {
+        name: member
+        for name, member in others.items()
+        if member.failure_domain == me.failure_domain
     }
-    usable = near or others
+    usable = same_domain or others
     name = rendezvous.owner(me.name, usable)
     return usable[name] if name else None
--- a/src/wigeonfront/usage/calls.py
+++ b/src/wigeonfront/usage/calls.py
@@ -1,7 +1,7 @@
-"""Calls between entries about starts: copies to another entry, and their collection.
+"""Calls between entries that copy starts to another entry and collect them.
 
-Clocks of two machines are not compared: a start is told by its age, which the other
-side turns into a time on its own steady clock.
+Clocks of two machines are not compared. A start is sent with its age, which the
+receiver converts into a time on its own steady clock.
 """
 
 import logging
@@ -25,19 +25,29 @@
 
 CONNECT_SECONDS = 0.25
 ANSWER_SECONDS = 0.5
-"""Longest wait for an answer, a hundred times what it takes."""
+"""Maximum wait for an answer: a hundred times what an answer takes."""
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
 class StartsRequest(msgspec.Struct, frozen=True):
-    """Asks for the starts of the last `seconds`."""
+    """Requests the starts of the last `seconds`."""
 
     seconds: float
 
 
 class AgedStart(msgspec.Struct, frozen=True, array_like=True):
-    """A start, by the seconds that have passed since."""
+    """A start with its age in seconds.
+
+    Attributes
+    ----------
+    number : int
+        Number of the start among those of its process.
+    account : str
+        Name of the client account.
+    age : float
+        Seconds since the start.
+    """
 
     number: int
     account: str
@@ -45,20 +55,27 @@
 
 
 class ProcessStarts(msgspec.Struct, frozen=True):
-    """Starts that one process has noted."""
+    """Starts that one process has recorded.
+
+    Attributes
+    ----------
+    incarnation : str
+        Incarnation of that process.
+    starts : list of AgedStart
+    """
 
     incarnation: str
     starts: list[AgedStart]
 
 
 class CopyStarts(msgspec.Struct, frozen=True):
-    """Starts to be held for the process that noted them.
+    """Copies of starts, to be held for the process that recorded them.
 
     Attributes
     ----------
-    of : StartsOf
+    of : ProcessStarts
     withdrawn : list of int
-        Numbers of starts that were none.
+        Numbers of starts whose requests did not run after all.
     """
 
     of: ProcessStarts
@@ -66,17 +83,18 @@
 
 
 class StartsReply(msgspec.Struct, frozen=True):
-    """What an entry knows of starts.
+    """The starts that an entry has recorded, and those that it holds as copies.
 
     Attributes
     ----------
-    own : StartsOf
-    held : list of StartsOf
-        Copies of what other processes have noted.
+    own : ProcessStarts
+        Starts that the entry has recorded.
+    held : list of ProcessStarts
+        Copies of starts that other processes have recorded.
     unix : float
-        Its time of day as it answers.
+        Unix time of the entry's clock when it answers.
     handling : float
-        Seconds that it took to answer.
+        Seconds that the entry took to answer.
     """
 
     own: ProcessStarts
@@ -86,14 +104,14 @@
 
 
 class StartServer:
-    """Answers other entries about starts.
+    """Answers the calls of other entries about starts.
 
     Parameters
     ----------
     log : StartLog
     held : HeldStarts
     incarnation : callable
-        Returns that of this process.
+        Returns the incarnation of this process.
     clock : Clock
     """
 
@@ -110,48 +128,57 @@
         self._clock = clock
 
     def collect(self, call: RawCall) -> None:
-        """Tell the starts that are noted or held here."""
+        """Answer with the starts that this process has recorded or holds."""
         began = self._clock.boottime()
-        asked = _decode(call, StartsRequest)
-        if asked is None:
+        message = _decode(call, StartsRequest)
+        if message is None:
             return
         now = self._clock.boottime()
-        since = now - asked.seconds
+        since = now - message.seconds
         own = [
-            AgedStart(one.number, one.account, now - one.at)
-            for one in self._log.since(since)
+            AgedStart(start.number, start.account, now - start.at)
+            for start in self._log.since(since)
         ]
         held = [
             ProcessStarts(
                 incarnation,
-                [AgedStart(one.number, one.account, now - one.at) for one in starts],
+                [
+                    AgedStart(start.number, start.account, now - start.at)
+                    for start in starts
+                ],
             )
             for incarnation, starts in self._held.since(since).items()
         ]
-        told = StartsReply(
-            ProcessStarts(self._incarnation(), own), held, self._clock.time(), now - began
+        reply = StartsReply(
+            ProcessStarts(self._incarnation(), own),
+            held,
+            self._clock.time(),
+            now - began,
         )
-        call.reply(OK, msgspec.msgpack.encode(told))
+        call.reply(OK, msgspec.msgpack.encode(reply))
 
     def copy(self, call: RawCall) -> None:
-        """Hold copies of another process's starts."""
-        asked = _decode(call, CopyStarts)
-        if asked is None:
+        """Hold the copies of another process's starts that the call brings."""
+        message = _decode(call, CopyStarts)
+        if message is None:
             return
         now = self._clock.boottime()
-        starts = [(one.number, one.account, now - one.age) for one in asked.of.starts]
-        self._held.hold(asked.of.incarnation, starts, asked.withdrawn, now)
+        starts = [
+            (start.number, start.account, now - start.age)
+            for start in message.of.starts
+        ]
+        self._held.hold(message.of.incarnation, starts, message.withdrawn, now)
         call.reply(OK)
 
 
 class StartClient:
-    """Asks other entries about starts."""
+    """Calls other entries to collect starts and to copy them."""
 
     def __init__(self) -> None:
         self._pools = Pools(CONNECT_SECONDS)
 
     def collect(self, address: str, seconds: float) -> StartsReply | None:
-        """Return the starts of the last `seconds`; ``None`` if it does not answer."""
+        """Return an entry's starts of the last `seconds`, or ``None`` on failure."""
         body = msgspec.msgpack.encode(StartsRequest(seconds))
         answer = self._pools.post(address, COLLECT_PATH, body, ANSWER_SECONDS)
         if not isinstance(answer, Answer) or answer.status != OK:
@@ -163,14 +190,14 @@
             return None
 
     def copy(self, address: str, copies: CopyStarts) -> bool:
-        """Have another entry hold copies; return whether it does."""
+        """Send copies to another entry; return whether it holds them now."""
         body = msgspec.msgpack.encode(copies)
         answer = self._pools.post(address, COPY_PATH, body, ANSWER_SECONDS)
         return isinstance(answer, Answer) and answer.status == OK
 
 
 def _decode(call: RawCall, kind: type) -> object | None:
-    """Return the call's message; a malformed one is answered here."""
+    """Return the call's message; reply 400 and return ``None`` if it is malformed."""
     try:
         return msgspec.msgpack.decode(call.body(MAX_BODY_BYTES), type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/src/wigeonfront/usage/collection.py
+++ b/src/wigeonfront/usage/collection.py
@@ -1,4 +1,4 @@
-"""Collects the starts of all entries, and counts them by window and account."""
+"""Collects the starts of all entries and counts them by window and account."""
 
 import math
 from collections import Counter
@@ -14,17 +14,17 @@
     answered_at,
     reading_of,
 )
-from wigeonfront.usage.calls import AgedStart, StartClient, ProcessStarts, StartsReply
+from wigeonfront.usage.calls import AgedStart, ProcessStarts, StartClient, StartsReply
 from wigeonfront.usage.held import HeldStarts
 from wigeonfront.usage.starts import StartLog
 
 MAX_CONCURRENT_CALLS = 8
-"""Entries that are asked at the same time."""
+"""Number of entries that are asked at the same time."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimedStart:
-    """A start on this machine's steady clock."""
+    """A start with its time on this machine's steady clock in seconds."""
 
     account: str
     at: float
@@ -32,18 +32,19 @@
 
 @dataclass(slots=True)
 class Collection:
-    """What was collected so far.
+    """The starts and clock readings collected so far.
 
     Attributes
     ----------
-    own : dict
-        Starts by the incarnation that noted and told them.
-    copies : dict
-        Starts by incarnation, as others hold them.
+    own : dict of str to sequence of TimedStart
+        Starts that each incarnation has reported itself.
+    copies : dict of str to sequence of TimedStart
+        Starts of each incarnation as other entries hold them.
     complete_until : dict of str to float
-        Time on this machine's steady clock as of which each incarnation has told.
+        Time on this machine's steady clock up to which each incarnation has reported
+        its starts itself.
     readings : dict of str to ClockReading
-        The best reading of each machine's clock.
+        The last reading of each machine's clock.
     """
 
     own: dict[str, Sequence[TimedStart]] = field(default_factory=dict)
@@ -53,25 +54,28 @@
 
     @property
     def offset(self) -> float | None:
-        """The true time less this machine's steady clock."""
+        """The agreed Unix time minus the steady clock; ``None`` without readings."""
         return agreed_offset(self.readings.values())
 
     def add_reply(
-        self, member: Member, told: StartsReply, sent: float, received: float
+        self, member: Member, reply: StartsReply, sent: float, received: float
     ) -> None:
-        """Take what a member has told.
+        """Add the reply of another entry.
 
         Parameters
         ----------
+        member : Member
+            The entry that replied.
+        reply : StartsReply
         sent, received : float
-            Times of the call and the answer on this machine's steady clock.
+            Times of the call and the reply on this machine's steady clock.
         """
-        at = answered_at(sent, received, told.handling)
-        self.own[told.own.incarnation] = _to_timed_starts(told.own.starts, at)
-        for held in told.held:
+        at = answered_at(sent, received, reply.handling)
+        self.own[reply.own.incarnation] = _to_timed_starts(reply.own.starts, at)
+        for held in reply.held:
             self._add_copy(held, at)
-        self.complete_until[told.own.incarnation] = at
-        reading = reading_of(member.name, sent, received, told.handling, told.unix)
+        self.complete_until[reply.own.incarnation] = at
+        reading = reading_of(member.name, sent, received, reply.handling, reply.unix)
         self.readings[member.name] = reading
 
     def add_local(
@@ -83,13 +87,24 @@
         since: float,
         clock: Clock,
     ) -> None:
-        """Take what this process itself knows."""
+        """Add the starts that this process has recorded or holds as copies.
+
+        Parameters
+        ----------
+        incarnation, name : str
+            Incarnation and name of this process.
+        log : StartLog
+        held : HeldStarts
+        since : float
+            Time on the steady clock from which on starts are added.
+        clock : Clock
+        """
         now = clock.boottime()
         self.own[incarnation] = [
-            TimedStart(one.account, one.at) for one in log.since(since)
+            TimedStart(start.account, start.at) for start in log.since(since)
         ]
         for other, starts in held.since(since).items():
-            copy = [TimedStart(one.account, one.at) for one in starts]
+            copy = [TimedStart(start.account, start.at) for start in starts]
             self._keep_longer(other, copy)
         self.complete_until[incarnation] = now
         self.readings[name] = ClockReading(name, clock.time() - now, 0.0)
@@ -102,7 +117,7 @@
             self.copies[incarnation] = starts
 
     def count(self, begin: float, end: float) -> dict[str, int]:
-        """Return the starts of each account between two times of the steady clock."""
+        """Return each account's number of starts between two steady clock times."""
         counts: Counter[str] = Counter()
         for incarnation in {**self.own, **self.copies}:
             counts.update(self._accounts_of(incarnation, begin, end))
@@ -111,25 +126,26 @@
     def _accounts_of(self, incarnation: str, begin: float, end: float) -> list[str]:
         """Return the account of each start of one process.
 
-        What it has told itself after the end is all there is; else copies may be newer.
+        If the process has reported its starts itself after `end`, its report is
+        complete. Otherwise copies may be newer, and the longer list is used.
         """
         own, copy = (
-            [one.account for one in starts if begin <= one.at < end]
+            [start.account for start in starts if begin <= start.at < end]
             for starts in (
                 self.own.get(incarnation, ()),
                 self.copies.get(incarnation, ()),
             )
         )
-        told_all = self.complete_until.get(incarnation, -math.inf) >= end
-        return own if told_all or len(own) >= len(copy) else copy
+        complete = self.complete_until.get(incarnation, -math.inf) >= end
+        return own if complete or len(own) >= len(copy) else copy
 
 
 def _to_timed_starts(starts: Iterable[AgedStart], answered: float) -> list[TimedStart]:
-    return [TimedStart(one.account, answered - one.age) for one in starts]
+    return [TimedStart(start.account, answered - start.age) for start in starts]
 
 
 class StartCollector:
-    """Asks entries for their starts, several at a time.
+    """Asks entries for their starts, several of them concurrently.
 
     Parameters
     ----------
@@ -144,15 +160,19 @@
     def collect(
         self, members: Sequence[Member], since: float, collection: Collection
     ) -> None:
-        """Ask `members` for the starts from a time on the steady clock on."""
+        """Add to `collection` the starts of `members` since a steady clock time."""
         if not members:
             return
         with ThreadPoolExecutor(MAX_CONCURRENT_CALLS, "usage-collect") as executor:
-            list(executor.map(lambda one: self._ask(one, since, collection), members))
+            list(
+                executor.map(
+                    lambda member: self._ask(member, since, collection), members
+                )
+            )
 
     def _ask(self, member: Member, since: float, collection: Collection) -> None:
         sent = self._clock.boottime()
-        told = self._client.collect(member.address, sent - since)
+        reply = self._client.collect(member.address, sent - since)
         received = self._clock.boottime()
-        if told is not None:
-            collection.add_reply(member, told, sent, received)
+        if reply is not None:
+            collection.add_reply(member, reply, sent, received)
--- a/src/wigeonfront/usage/held.py
+++ b/src/wigeonfront/usage/held.py
@@ -1,4 +1,4 @@
-"""Copies of the starts that other processes have noted."""
+"""Copies of the starts that other processes have recorded."""
 
 import threading
 from collections.abc import Iterable, Mapping
@@ -7,7 +7,7 @@
 
 
 class HeldStarts:
-    """Starts by the incarnation of the process that noted them; safe for threads."""
+    """Copies of starts by the incarnation that recorded them; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -20,32 +20,36 @@
         withdrawn: Iterable[int],
         now: float,
     ) -> None:
-        """Hold copies; one that is held already stays as it is.
+        """Add copies, and remove outdated ones; a copy that is held stays unchanged.
 
         Parameters
         ----------
+        incarnation : str
+            Incarnation of the process that recorded the starts.
         starts : iterable of tuples
-            Number, account and time on this machine's steady clock.
+            Number, account and time on this machine's steady clock of each start.
         withdrawn : iterable of int
-            Numbers of starts that were none.
+            Numbers of starts whose requests did not run after all.
         now : float
             Time on this machine's steady clock.
         """
         with self._lock:
-            mine = self._held.setdefault(incarnation, {})
+            copies = self._held.setdefault(incarnation, {})
             for number, account, at in starts:
-                mine.setdefault(number, Start(number, account, at))
+                copies.setdefault(number, Start(number, account, at))
             for number in withdrawn:
-                if number in mine:
-                    mine[number].withdrawn = True
+                if number in copies:
+                    copies[number].withdrawn = True
             self._remove_older(now - RETENTION_SECONDS)
 
     def since(self, at: float) -> Mapping[str, list[Start]]:
-        """Return the starts that ran from a time on, by incarnation."""
+        """Return the starts from a time on by incarnation, without withdrawn ones."""
         with self._lock:
             found = {
                 incarnation: [
-                    one for one in starts.values() if one.at >= at and not one.withdrawn
+                    start
+                    for start in starts.values()
+                    if start.at >= at and not start.withdrawn
                 ]
                 for incarnation, starts in self._held.items()
             }
@@ -53,7 +57,9 @@
 
     def _remove_older(self, before: float) -> None:
         for incarnation, starts in list(self._held.items()):
-            for number in [one.number for one in starts.values() if one.at < before]:
+            for number in [
+                start.number for start in starts.values() if start.at < before
+            ]:
                 del starts[number]
             if not starts:
                 del self._held[incarnation]
--- a/src/wigeonfront/usage/ledger.py
+++ b/src/wigeonfront/usage/ledger.py
@@ -1,8 +1,9 @@
-"""Fixes the counts of windows in the store, before anything of them is sent.
+"""Fixes the counts of windows in the store before any of them is sent.
 
-One row says up to which window counts are fixed, and holds those that may not have been
-sent. It is written by compare-and-swap, so that a window is counted once, by whoever
-holds the duty; every send of a window repeats what the row says.
+One row says up to which window the counts are fixed, and holds the counts that may not
+have been sent yet. It is written by compare-and-swap, so that each window is counted
+once, whichever process holds the duty. Every send of a window repeats the counts of the
+row.
 """
 
 import logging
@@ -28,21 +29,21 @@
 LEDGER_KEY = "usage/ledger"
 
 Counts = Mapping[str, int]
-"""Requests by the name of the client account."""
+"""Number of requests by the name of the client account."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fixed:
-    """What is fixed.
+    """The content of the ledger's row: the fixed windows.
 
     Attributes
     ----------
     through : int
         The last window that is fixed; -1 before the first.
     unsent : mapping of int to Counts
-        Windows that may not have been taken by the platform.
+        Counts of the windows that the platform may not have accepted yet.
     revision : int
-        Of the row; 0 while there is none.
+        Revision of the row; 0 while the row doesn't exist.
     """
 
     through: int = -1
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotFixed:
-    """Nothing is known to be fixed; what is must be read again.
+    """The content of the row is unknown, so it must be read again.
 
     Attributes
     ----------
@@ -68,7 +69,7 @@
 
 
 class UsageLedger:
-    """The row.
+    """Reads and writes the row with the fixed counts.
 
     Parameters
     ----------
@@ -79,7 +80,7 @@
         self._store = store
 
     def read(self) -> Fixed | NotFixed:
-        """Return what is fixed."""
+        """Return the fixed windows, or why they could not be read."""
         row = self._store.get(LEDGER_KEY)
         if isinstance(row, Absent):
             return Fixed()
@@ -95,16 +96,25 @@
         Parameters
         ----------
         known : Fixed
-            What this process has read or written last.
+            The content that this process has read or written last.
         counts : mapping of int to Counts
-            By the window.
+            Counts of each window to fix.
         sent : frozenset of int
-            Windows that the platform has taken.
+            Windows that the platform has accepted; the row drops their counts.
+
+        Returns
+        -------
+        Fixed or NotFixed
+            `NotFixed` also if the outcome of the write is unknown.
         """
-        unsent = {one: of for one, of in known.unsent.items() if one not in sent}
+        unsent = {
+            window: window_counts
+            for window, window_counts in known.unsent.items()
+            if window not in sent
+        }
         unsent |= counts
         through = max((known.through, *counts))
-        row = _LedgerRow(through, {one: dict(of) for one, of in unsent.items()})
+        row = _LedgerRow(through, {window: dict(of) for window, of in unsent.items()})
         outcome = self._store.write(
             (Expect(LEDGER_KEY, known.revision),),
             (Put(LEDGER_KEY, msgspec.json.encode(row)),),
--- a/src/wigeonfront/usage/reporting.py
+++ b/src/wigeonfront/usage/reporting.py
@@ -1,4 +1,4 @@
-"""The duty of one machine: to count each window once and to send the counts."""
+"""The usage duty of one machine: counts each window once and sends the counts."""
 
 import logging
 import threading
@@ -15,34 +15,35 @@
 from wigeonfront.usage.held import HeldStarts
 from wigeonfront.usage.ledger import Counts, Fixed, NotFixed, UsageLedger
 from wigeonfront.usage.starts import StartLog
-from wigeonfront.usage.windows import UsageBounds, windows_to_fix, ended_windows
+from wigeonfront.usage.windows import UsageBounds, ended_windows, windows_to_fix
 
 logger = logging.getLogger(__name__)
 
 SUBJECT = "usage"
-"""Of the duty, among all that machines act for."""
+"""Name of this duty among the subjects that machines act for."""
 
 HOLDER_INTERVAL_SECONDS = 0.25
-"""Pause of the holder until it looks again whether something is to be done."""
+"""Interval at which the holder of the duty checks for work."""
 
 IDLE_INTERVAL_SECONDS = 0.5
+"""Interval at which other machines check whether they hold the duty."""
 
 CLOCK_MARGIN_SECONDS = 1.0
-"""Time before a window from which starts are asked for: many times the error of the
+"""Time before a window from which on starts are requested: many times the error of the
 agreed time."""
 
 MAX_LATE_SECONDS = 60.0
-"""Time after a window's end after which its report is given up: a report that is late
-still tells whoever bills by it, but must not hold up those that are due."""
+"""Time after a window's end after which its report is given up. A late report is still
+useful for billing, but must not delay the reports that are due."""
 
 
 class UsageApi(Protocol):
-    """Takes reports; the platform's adapter gives it."""
+    """Receiver of usage reports, which the platform's adapter implements."""
 
     def report_usage(
         self, window: int, counts: Counts, holder: str, fence: int
     ) -> DutyOutcome:
-        """Send the counts of a window, once."""
+        """Send the counts of a window, with a single attempt."""
 
 
 class UsageReporter:
@@ -51,18 +52,18 @@
     Parameters
     ----------
     name : str
-        Of this machine.
+        Name of this machine.
     holder : callable
-        Returns the machine that holds a duty, as far as is known.
+        Returns the name of the machine that holds a duty, as far as is known.
     rights : Rights
     ledger : UsageLedger
     collector : StartCollector
     log : StartLog
     held : HeldStarts
     me : callable
-        Returns this process as a member.
+        Returns the membership record of this process.
     members : callable
-        Returns the entries that live.
+        Returns the membership records of the live entries.
     api : UsageApi
     bounds : UsageBounds
     clock : Clock
@@ -106,11 +107,11 @@
 
     @property
     def last_sent(self) -> int:
-        """The newest window that the platform has taken from here; 0 before any."""
+        """The newest window that the platform has accepted from here; 0 before any."""
         return max(self._sent, default=0)
 
     def run(self, stop: threading.Event) -> None:
-        """Report while this machine holds the duty (a supervisor's task)."""
+        """Report usage while this machine holds the duty (a supervisor's task)."""
         while not stop.is_set():
             holds = self._holder(SUBJECT) == self._name
             if holds:
@@ -120,7 +121,7 @@
             stop.wait(HOLDER_INTERVAL_SECONDS if holds else IDLE_INTERVAL_SECONDS)
 
     def step(self) -> None:
-        """Fix the windows that have ended, and send what is fixed."""
+        """Fix the windows that have ended and send the fixed ones."""
         if self._fixed is None:
             self._load_ledger()
         if self._fixed is None:
@@ -141,7 +142,7 @@
             event(logger, "usage_ledger_unread", reason=read.reason)
             return
         if not read.revision:
-            # The first of all begins with what is still due.
+            # Without a row, the first window is the oldest whose report is still due.
             read = Fixed(self._bounds.window_at(self._now() - self._bounds.due) - 1)
         self._fixed = read
         event(
@@ -153,7 +154,7 @@
         )
 
     def _now(self) -> float:
-        """Return the Unix time that most clocks agree on."""
+        """Return the Unix time that most clocks agree on, or else this clock's time."""
         offset = self._collection.offset
         if offset is None:
             return self._clock.time()
@@ -166,34 +167,35 @@
         if not ended:
             return
         self._collect(ended)
-        # The time is known better now than it was before.
+        # The collection has brought more clock readings, so the time may differ.
         ended = ended_windows(self._fixed.through, self._now(), self._bounds)
         offset = self._collection.offset
         complete_until = {
             incarnation: at + offset
             for incarnation, at in self._collection.complete_until.items()
         }
-        living = [one.incarnation for one in self._members()]
+        living = [member.incarnation for member in self._members()]
         now = self._now()
         windows = windows_to_fix(ended, complete_until, living, now, self._bounds)
         if windows:
             silent = sum(
-                complete_until.get(one, 0.0) < self._bounds.end(windows[-1]) for one in living
+                complete_until.get(incarnation, 0.0) < self._bounds.end(windows[-1])
+                for incarnation in living
             )
             self._fix(windows, offset, silent)
 
     def _collect(self, ended: range) -> None:
-        """Ask the entries that have not told yet what began in the ended windows."""
+        """Collect the starts in the ended windows that are not known yet."""
         unix_offset = self._now() - self._clock.boottime()
         since = self._bounds.begin(ended[0]) - unix_offset - CLOCK_MARGIN_SECONDS
         end = self._bounds.end(ended[-1]) - unix_offset
         me = self._me()
         collection = self._collection
         silent = [
-            one
-            for one in self._members()
-            if one.name != me.name
-            and collection.complete_until.get(one.incarnation, -1.0) < end
+            member
+            for member in self._members()
+            if member.name != me.name
+            and collection.complete_until.get(member.incarnation, -1.0) < end
         ]
         self._collector.collect(silent, since, collection)
         collection.add_local(
@@ -209,13 +211,13 @@
         }
         outcome = self._ledger.fix(self._fixed, counts, self._sent)
         fixed = isinstance(outcome, Fixed)
-        for window, of in counts.items():
+        for window, window_counts in counts.items():
             event(
                 logger,
                 "usage_fixed",
                 window=window,
-                requests=sum(of.values()),
-                accounts=len(of),
+                requests=sum(window_counts.values()),
+                accounts=len(window_counts),
                 silent=silent,
                 clocks=len(self._collection.readings),
                 fixed=fixed,
@@ -226,17 +228,22 @@
             self._sent &= frozenset(outcome.unsent)
             self._collection = Collection(readings=self._collection.readings)
         else:
-            # Another process may have fixed them, or this write may still arrive.
+            # Another process may have fixed the windows, or the outcome is unknown and this
+            # write may still arrive.
             self._fixed = None
 
     # --- sending -------------------------------------------------------------
 
     def _send(self) -> None:
-        """Send what is fixed, first what is still due, each the oldest first."""
+        """Send the fixed windows: those still due first, then late ones, by age."""
         now = self._now()
         unsent = sorted(self._fixed.unsent.keys() - self._sent)
-        late = [one for one in unsent if now > self._bounds.end(one) + self._bounds.due]
-        for window in [one for one in unsent if one not in late] + late:
+        late = [
+            window
+            for window in unsent
+            if now > self._bounds.end(window) + self._bounds.due
+        ]
+        for window in [window for window in unsent if window not in late] + late:
             if now > self._bounds.end(window) + MAX_LATE_SECONDS:
                 self._record_outcome(window, NotTaken("given up"), 0)
                 self._sent |= {window}
--- a/src/wigeonfront/usage/starts.py
+++ b/src/wigeonfront/usage/starts.py
@@ -1,4 +1,4 @@
-"""Notes when requests of client accounts began to run at targets."""
+"""Records when requests of client accounts started to run at targets."""
 
 import threading
 from collections import deque
@@ -7,27 +7,29 @@
 from wigeonfront.clock import Clock
 
 RETENTION_SECONDS = 60.0
-"""How long a start is kept: windows whose report was held up by an outage of this
-length are still counted."""
+"""How long a start is kept, so that windows are still counted after an outage of this
+length has delayed their reports."""
 
 TRANSIT_SECONDS = 0.0003
-"""Time from the end of a send until the target begins: the way between machines of one
-deployment. A tenth of it is one request a window miscounted in 10,000."""
+"""Time from the end of a send until the target starts the request: the network transit
+between machines of one deployment. A tenth of it amounts to one miscounted request in
+10,000 per window."""
 
 
 @dataclass(slots=True)
 class Start:
-    """A request that began to run.
+    """The start of a request at a target.
 
     Attributes
     ----------
     number : int
-        Its place among the starts of this process.
+        Number of the start among those of its process, from 1 on.
     account : str
+        Name of the client account.
     at : float
-        On the clock that counts suspensions, in seconds.
+        Time in seconds on the steady clock, which also counts suspensions.
     withdrawn : bool
-        It did not run after all.
+        Whether the request did not run after all.
     """
 
     number: int
@@ -37,7 +39,7 @@
 
 
 class StartLog:
-    """The starts that this process has seen lately; safe for use by many threads.
+    """The recent starts of this process; thread-safe.
 
     Parameters
     ----------
@@ -59,51 +61,55 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._starts: deque[Start] = deque()
-        self._last = 0
-        # Numbers of starts that were withdrawn after others may have copied them.
-        self._changed: deque[Start] = deque(maxlen=1_000)
+        self._last_number = 0
+        # Starts that were withdrawn after another entry may have got copies of them.
+        self._withdrawn: deque[Start] = deque(maxlen=1_000)
 
     def note(self, account: str) -> "StartNote":
-        """Return the note of a request that is about to be sent."""
+        """Return a `StartNote` for a request that is about to be sent."""
         return StartNote(self, account)
 
     def add(self, account: str) -> Start:
-        """Note a start that happens now."""
+        """Record a start at the present time."""
         now = self._clock.boottime()
         with self._lock:
-            self._last += 1
-            start = Start(self._last, account, now + TRANSIT_SECONDS)
+            self._last_number += 1
+            start = Start(self._last_number, account, now + TRANSIT_SECONDS)
             self._starts.append(start)
             while self._starts[0].at < now - RETENTION_SECONDS:
                 self._starts.popleft()
         return start
 
     def withdraw(self, start: Start) -> None:
-        """Take back a start that was none."""
+        """Withdraw a start whose request did not run after all."""
         with self._lock:
             start.withdrawn = True
-            self._changed.append(start)
+            self._withdrawn.append(start)
 
     def after(self, number: int) -> list[Start]:
-        """Return the starts behind a number, oldest first."""
+        """Return the starts with higher numbers than `number`, oldest first."""
         with self._lock:
             return [start for start in self._starts if start.number > number]
 
     def since(self, at: float) -> list[Start]:
-        """Return the starts that ran from a time on."""
+        """Return the starts from a time on, without withdrawn ones."""
         with self._lock:
-            return [one for one in self._starts if one.at >= at and not one.withdrawn]
+            return [
+                start
+                for start in self._starts
+                if start.at >= at and not start.withdrawn
+            ]
 
     def pop_withdrawn(self) -> list[Start]:
-        """Return the starts that were withdrawn since the last call."""
+        """Remove and return the starts that were withdrawn since the last call."""
         with self._lock:
-            taken = list(self._changed)
-            self._changed.clear()
-        return taken
+            withdrawn = list(self._withdrawn)
+            self._withdrawn.clear()
+        return withdrawn
 
 
 class StartNote:
-    """The start of one send, which may be made on one connection after another.
+    """Records the start of one send, which may be repeated on another connection.
 
     Parameters
     ----------
@@ -117,12 +123,12 @@
         self._start: Start | None = None
 
     def sent(self) -> None:
-        """Note that the whole request is on its way; an earlier way led nowhere."""
+        """Record that the request was sent whole; withdraw an earlier send's start."""
         self.withdraw()
         self._start = self._log.add(self._account)
 
     def withdraw(self) -> None:
-        """Take the start back: the request did not run."""
+        """Withdraw the start, as the request did not run."""
         if self._start is not None:
             self._log.withdraw(self._start)
             self._start = None
--- a/src/wigeonfront/usage/windows.py
+++ b/src/wigeonfront/usage/windows.py
@@ -1,7 +1,7 @@
-"""Which windows are counted when; pure functions.
+"""Pure functions that decide which windows are counted when.
 
-A window is fixed once every entry that lives has told what it began in it, or else so
-late that only the time to send the report is left.
+A window is fixed once every live entry has reported its starts in the window, or else
+so late that only the time to send the report is left.
 """
 
 import math
@@ -9,25 +9,25 @@
 from dataclasses import dataclass
 
 SETTLE_SECONDS = 0.5
-"""Time after a window's end at which its starts are asked for: many times the error of
-the agreed time, so that no start can still fall into it."""
+"""Time after a window's end at which its starts are requested: many times the error of
+the agreed time, so that no start can still fall into the window."""
 
 GIVE_UP_SHARE = 0.75
-"""Share of the time in which a report is due for which entries that don't answer are
-waited for: the rest is for the store and the platform to take it."""
+"""Share of the time until a report is due during which entries that don't answer are
+waited for. The rest is left for the writes to the store and to the platform."""
 
 MAX_CATCH_UP_SECONDS = 50.0
-"""How far back windows are caught up after an outage; starts are kept longer."""
+"""Maximum age of windows that are caught up after an outage; starts are kept longer."""
 
 
 @dataclass(frozen=True, slots=True)
 class UsageBounds:
-    """What the platform asks for, in seconds.
+    """The platform's requirements for usage reports, in seconds.
 
     Attributes
     ----------
     window : float
-        Length of a window; window k begins `k * window` after the Unix epoch.
+        Length of a window; window ``k`` begins `k * window` after the Unix epoch.
     due : float
         Time after a window's end within which its report is due.
     """
@@ -44,7 +44,7 @@
         return (window + 1) * self.window
 
     def window_at(self, unix: float) -> int:
-        """Return the window of a time."""
+        """Return the window that contains the Unix time `unix`."""
         return math.floor(unix / self.window)
 
 
@@ -57,6 +57,7 @@
         The last window that is fixed.
     now : float
         Unix time that most clocks agree on.
+    bounds : UsageBounds
     """
     last = bounds.window_at(now - SETTLE_SECONDS) - 1
     first = bounds.window_at(now - MAX_CATCH_UP_SECONDS)
@@ -75,19 +76,22 @@
     Parameters
     ----------
     ended : iterable of int
-        See `ended_windows`.
+        Windows that have ended and aren't fixed; see `ended_windows`.
     complete_until : mapping of str to float
-        Unix time as of which each entry has last told its starts.
+        Unix time up to which each entry has reported its starts.
     living : iterable of str
-        Entries that live.
+        Incarnations of the live entries.
     now : float
-        Unix time.
+        Unix time that most clocks agree on.
+    bounds : UsageBounds
     """
-    heard = min((complete_until.get(name, -math.inf) for name in living), default=math.inf)
-    closable = []
+    heard = min(
+        (complete_until.get(name, -math.inf) for name in living), default=math.inf
+    )
+    fixable = []
     for window in ended:
         end = bounds.end(window)
         if heard < end and now < end + GIVE_UP_SHARE * bounds.due:
             break
-        closable.append(window)
-    return closable
+        fixable.append(window)
+    return fixable
