--- a/src/wigeonfront/usage/backup.py
+++ b/src/wigeonfront/usage/backup.py
@@ -14,10 +14,10 @@
 logger = logging.getLogger(__name__)
 
 COPY_INTERVAL_SECONDS = 0.2
-"""Interval between copies. A process that is killed loses the starts since the last."""
+"""Interval between copies: a killed process loses the starts since the last copy."""
 
 FAILED_ENTRY_PAUSE_SECONDS = 2.0
-"""How long no copies are sent to an entry that did not accept some."""
+"""How long an entry that has not accepted copies gets no others."""
 
 
 class StartBackup:
--- a/src/wigeonfront/usage/reporting.py
+++ b/src/wigeonfront/usage/reporting.py
@@ -228,7 +228,7 @@
             self._sent &= frozenset(outcome.unsent)
             self._collection = Collection(readings=self._collection.readings)
         else:
-            # Another process may have fixed the windows, or the outcome is unknown and this
+            # Another process may have fixed the windows, or this one's unanswered
             # write may still arrive.
             self._fixed = None
 
--- a/tests/test_account_calls.py
+++ b/tests/test_account_calls.py
@@ -1,4 +1,4 @@
-"""Calls with API keys at an entry, over real sockets: what targets and others see."""
+"""Calls with API keys to an entry over real sockets, and what targets and logs show."""
 
 import logging
 import socket
@@ -24,10 +24,10 @@
 
 @pytest.fixture
 def deployed():
-    made = Deployment()
-    configure(made, 2)
-    yield made
-    made.close()
+    cluster = Deployment()
+    configure(cluster, 2)
+    yield cluster
+    cluster.close()
 
 
 def configure(deployed, version, accounts=ACCOUNTS, **changes):
@@ -35,7 +35,7 @@
     deployed.rows.put("op/config", document)
 
 
-def plain(entry, id, **headers):
+def call_plain(entry, id, **headers):
     return call(entry, "POST", "/plain/x", b"in", Wigeonfront_Attempt_Id=id, **headers)
 
 
@@ -56,7 +56,7 @@
         (O1, 200),
     ],
 )
-def test_requests_need_a_key_of_an_account(deployed, headers, status):
+def test_requests_need_the_key_of_an_account(deployed, headers, status):
     entry = deployed.add_entry("n1")
     answer = urllib3.request(
         "POST",
@@ -65,21 +65,23 @@
         retries=False,
     )
     assert answer.status == status
-    challenged = answer.headers.get("WWW-Authenticate")
-    assert challenged == ("Bearer" if status == 401 else None)
+    challenge = answer.headers.get("WWW-Authenticate")
+    assert challenge == ("Bearer" if status == 401 else None)
     assert len(deployed.plain.seen) == (status == 200)
 
 
-def test_targets_see_the_account_and_never_the_key(deployed):
+def test_targets_get_the_account_but_never_the_key(deployed):
     entry = deployed.add_entry("n1")
     forged = {"Wigeonfront_Tenant": "other"}
-    assert plain(entry, "r1", **S1, **forged).status == 200
+    assert call_plain(entry, "r1", **S1, **forged).status == 200
     stream = call(
         entry, "POST", "/stream/x", b"", Wigeonfront_Attempt_Id="r2", **O1, **forged
     )
     assert stream.status == 200
     assert submit(entry, "l1", **S1).status == 202
-    wait_for(lambda: sum(map(len, (e.headers for e in deployed.engines))) > SAMPLES)
+    wait_for(
+        lambda: sum(map(len, (engine.headers for engine in deployed.engines))) > SAMPLES
+    )
     seen = dict(deployed.plain.headers)
     for engine in deployed.engines:
         seen |= engine.headers
@@ -90,7 +92,7 @@
         assert "authorization" not in headers
 
 
-def test_a_key_in_the_headers_of_a_sample_reaches_no_engine(deployed):
+def test_key_in_the_headers_of_a_sample_reaches_no_engine(deployed):
     entry = deployed.add_entry("n1")
     body = msgspec.json.decode(submission("l1"))
     for item in body["items"]:
@@ -100,12 +102,12 @@
     assert answer.status == 202
     seen = {}
 
-    def all_came():
+    def all_samples_arrived():
         for engine in deployed.engines:
             seen.update(engine.headers)
         return len(seen) == SAMPLES
 
-    wait_for(all_came)
+    wait_for(all_samples_arrived)
     for headers in seen.values():
         assert headers["wigeonfront-tenant"] == "studio"
         assert "authorization" not in headers
@@ -114,14 +116,14 @@
 def test_public_routes_need_no_key(deployed):
     configure(deployed, 3, public=True)
     entry = deployed.add_entry("n1")
-    assert plain(entry, "r1", Wigeonfront_Tenant="studio").status == 200
+    assert call_plain(entry, "r1", Wigeonfront_Tenant="studio").status == 200
     assert "wigeonfront-tenant" not in deployed.plain.headers["r1"]
-    assert plain(entry, "r2", **S1).status == 200
+    assert call_plain(entry, "r2", **S1).status == 200
     assert deployed.plain.headers["r2"]["wigeonfront-tenant"] == "studio"
     assert "authorization" not in deployed.plain.headers["r2"]
 
 
-def test_a_key_that_is_taken_away_is_refused_on_open_connections(deployed):
+def test_removed_key_is_refused_on_open_connections(deployed):
     entry = deployed.add_entry("n1")
     pool = Pool(entry._settings.front_address)
     headers = {"Host": HOST, "Wigeonfront-Attempt-Id": "r1"} | S1
@@ -130,23 +132,23 @@
     wait_for(
         lambda: pool.call("POST", "/plain/x", b"", headers, timeout=4.0).status == 401
     )
-    assert plain(entry, "r2", Authorization="Bearer key-s3").status == 200
+    assert call_plain(entry, "r2", Authorization="Bearer key-s3").status == 200
     pool.close()
 
 
-def test_an_unknown_key_is_not_refused_for_good_by_an_old_copy(deployed):
-    """It may have been added while this entry could not hear of it."""
+def test_old_configuration_refuses_unknown_keys_only_temporarily(deployed):
+    """The key may have been added since the entry last read the configuration."""
     entry = deployed.add_entry("n1")
     deployed.rows.faults.down = True
     fresh = entry._settings.bounds.configuration_seconds
     wait_for(lambda: entry._view.operator.age > fresh, 10.0)
-    answer = plain(entry, "r1", Authorization="Bearer key-x")
+    answer = call_plain(entry, "r1", Authorization="Bearer key-x")
     assert answer.status == 503
     assert answer.retry_after > 0
-    assert plain(entry, "r2", **S1).status == 200
+    assert call_plain(entry, "r2", **S1).status == 200
 
 
-def test_a_lot_is_known_to_its_account_only(deployed):
+def test_lot_is_visible_only_to_its_account(deployed):
     first, second = deployed.add_entry("n1"), deployed.add_entry("n2")
     assert submit(first, "l1", **S1).status == 202
     for entry in (first, second):
@@ -159,7 +161,7 @@
             assert call(entry, method, path).status == 401
     assert call(second, "GET", "/items/l1?id=l1-0", **S2).body == b"in0"
     assert submit(second, "l1", **S2).status == 202
-    # The same name means another Lot to another account.
+    # Each account has its own namespace of Lots.
     assert submit(first, "l1", **O1).status == 202
     wait_for(lambda: results(second, "l1", S2) == SAMPLES)
     wait_for(lambda: results(second, "l1", O1) == SAMPLES)
@@ -168,7 +170,7 @@
 
 
 def results(entry, name, headers):
-    """Return the number of results, read on from where each page ends."""
+    """Return the number of results on all pages of a Lot."""
     after = 0
     while True:
         answer = call(entry, "GET", f"/lots/{name}?after={after}", **headers)
@@ -180,20 +182,20 @@
         after = page["next"]
 
 
-def test_taking_a_key_away_ends_no_lot(deployed):
+def test_removing_a_key_ends_no_lot(deployed):
     entry = deployed.add_entry("n1")
     for engine in deployed.engines:
         engine.faults.hang = True
     assert submit(entry, "l1", **S1).status == 202
     configure(deployed, 3, {"studio": ["key-s2"], "other": ["key-o1"]})
-    wait_for(lambda: plain(entry, "r", **S1).status == 401)
+    wait_for(lambda: call_plain(entry, "r", **S1).status == 401)
     for engine in deployed.engines:
         engine.faults.hang = False
         engine.release.set()
     wait_for(lambda: results(entry, "l1", S2) == SAMPLES)
 
 
-def test_another_owner_names_the_same_account(deployed):
+def test_owner_that_takes_over_sends_the_same_account(deployed):
     first = deployed.add_entry("n1")
     for engine in deployed.engines:
         engine.faults.hang = True
@@ -207,10 +209,10 @@
     wait_for(lambda: results(second, "l1", S1) == SAMPLES, 20.0)
     seen = deployed.engines[0].headers | deployed.engines[1].headers
     assert seen
-    assert {one["wigeonfront-tenant"] for one in seen.values()} == {"studio"}
+    assert {headers["wigeonfront-tenant"] for headers in seen.values()} == {"studio"}
 
 
-def test_a_lot_from_before_there_were_accounts_stays_readable(deployed):
+def test_lot_from_before_accounts_were_configured_stays_readable(deployed):
     configure(deployed, 3, None)
     entry = deployed.add_entry("n1")
     wait_for(lambda: entry._configuration.version == 3)
@@ -222,27 +224,27 @@
     assert results(entry, "l1", O1) == SAMPLES
 
 
-def test_no_key_is_logged_or_kept(deployed, caplog):
+def test_no_key_is_logged_or_stored(deployed, caplog):
     caplog.set_level(logging.DEBUG)
     remembered = RememberedEvents("n1")
     logging.getLogger("wigeonfront").addHandler(remembered)
     entry = deployed.add_entry("n1")
-    assert plain(entry, "r1", **S1).status == 200
-    assert plain(entry, "r2", Authorization="Bearer key-x").status == 401
+    assert call_plain(entry, "r1", **S1).status == 200
+    assert call_plain(entry, "r2", Authorization="Bearer key-x").status == 401
     assert submit(entry, "l1", **S1).status == 202
     wait_for(lambda: results(entry, "l1", S1) == SAMPLES)
     logging.getLogger("wigeonfront").removeHandler(remembered)
-    said = "".join(one.getMessage() for one in caplog.records)
-    said += entry._metrics.render_text()
+    output = "".join(record.getMessage() for record in caplog.records)
+    output += entry._metrics.render_text()
     for key in (*KEYS, "key-x"):
-        assert key not in said
+        assert key not in output
         for row in deployed.rows.list("").rows:
             assert row.key.startswith("op/") or key.encode() not in row.value
     assert remembered.find("l1")
 
 
-def test_the_body_of_a_refused_request_is_no_request(deployed):
-    """A chunked body that nobody has read must not be taken for the next request."""
+def test_body_of_a_refused_request_is_not_read_as_a_request(deployed):
+    """An unread chunked body must not be parsed as the next request."""
     entry = deployed.add_entry("n1")
     inner = (
         f"POST /plain/inner HTTP/1.1\r\nHost: {HOST}\r\n"
@@ -256,15 +258,15 @@
     host, _, port = entry._settings.front_address.partition(":")
     with socket.create_connection((host, int(port)), timeout=4.0) as sock:
         sock.sendall((outer + inner).encode())
-        said = b""
-        while piece := sock.recv(65_536):
-            said += piece
-    assert said.count(b"HTTP/1.1 ") == 1
-    assert said.startswith(b"HTTP/1.1 401")
+        response = b""
+        while chunk := sock.recv(65_536):
+            response += chunk
+    assert response.count(b"HTTP/1.1 ") == 1
+    assert response.startswith(b"HTTP/1.1 401")
     assert not deployed.plain.seen
 
 
-def test_a_header_that_comes_twice_is_no_key(deployed):
+def test_repeated_authorization_header_is_malformed(deployed):
     entry = deployed.add_entry("n1")
     request = (
         f"POST /plain/x HTTP/1.1\r\nHost: {HOST}\r\n"
@@ -277,7 +279,7 @@
         assert sock.recv(65_536).startswith(b"HTTP/1.1 401")
 
 
-def test_accounts_priority_goes_before_the_routes(deployed):
+def test_priority_of_an_account_overrides_that_of_the_route(deployed):
     accounts = deployment.configuration(3, accounts=ACCOUNTS)
     document = msgspec.json.decode(accounts)
     document["tenants"][0]["priority"] = 1
@@ -288,5 +290,5 @@
         headers = {"Wigeonfront_Attempt_Id": id, "Wigeonfront_Model": MODEL} | key
         assert call(entry, "POST", "/stream/x", b"", **headers).status == 200
     seen = deployed.engines[0].headers | deployed.engines[1].headers
-    ranks = [seen[id]["wigeonfront-request-priority"] for id in ("r1", "r2")]
-    assert ranks == ["1", "4"]
+    priorities = [seen[id]["wigeonfront-request-priority"] for id in ("r1", "r2")]
+    assert priorities == ["1", "4"]
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Who calls: keys in headers, directories of accounts, and which calls are taken."""
+"""Keys in headers, account directories, admission of calls, and the account gate."""
 
 import pytest
 
@@ -49,7 +49,7 @@
         ("Bearer " + "k" * (MAX_KEY_LENGTH + 1), MalformedKey()),
     ],
 )
-def test_a_key_is_read_as_http_has_it(header, key):
+def test_key_is_parsed_from_authorization_header(header, key):
     assert read_key(header) == key
 
 
@@ -67,14 +67,14 @@
         ([(ClientAccount("a b"), [])], "account name 'a b'"),
     ],
 )
-def test_accounts_that_contradict_each_other_are_refused(accounts, reason):
-    found = make_directory(accounts)
-    assert isinstance(found, BadAccounts)
-    assert found.reason.startswith(reason)
-    assert "k1" not in found.reason
+def test_invalid_accounts_are_rejected_with_a_reason(accounts, reason):
+    result = make_directory(accounts)
+    assert isinstance(result, BadAccounts)
+    assert result.reason.startswith(reason)
+    assert "k1" not in result.reason
 
 
-def test_a_directory_holds_no_key():
+def test_directory_stores_no_key_in_clear_text():
     assert isinstance(DIRECTORY, AccountDirectory)
     assert len(DIRECTORY) == 3
     assert "k1" not in repr(vars(DIRECTORY))
@@ -82,7 +82,7 @@
     assert DIRECTORY.find("k4") is None
 
 
-K9 = fingerprint("k9")
+UNKNOWN_FINGERPRINT = fingerprint("k9")
 
 
 @pytest.mark.parametrize(
@@ -90,18 +90,18 @@
     [
         ("Bearer k1", 0.0, BOUNDS, Admitted("studio", 1)),
         ("Bearer k3", 0.0, BOUNDS, Admitted("other", None)),
-        # What was known goes on being served by a process that is cut off.
+        # A process that is cut off from the store still serves known keys.
         ("Bearer k1", 60.0, BOUNDS, Admitted("studio", 1)),
         ("Bearer k1", 5.0, STRICT, Admitted("studio", 1)),
         ("Bearer k1", 5.1, STRICT, Undecided("unconfirmed", fingerprint("k1"))),
         ("", 60.0, STRICT, Unauthenticated("no_key")),
         ("Basic k1", 60.0, STRICT, Unauthenticated("malformed")),
-        ("Bearer k9", 2.0, BOUNDS, Unauthenticated("unknown_key", K9)),
-        # It may be newer than what is known here.
-        ("Bearer k9", 2.1, BOUNDS, Undecided("unknown_key", K9)),
+        ("Bearer k9", 2.0, BOUNDS, Unauthenticated("unknown_key", UNKNOWN_FINGERPRINT)),
+        # The key may be newer than this copy of the configuration.
+        ("Bearer k9", 2.1, BOUNDS, Undecided("unknown_key", UNKNOWN_FINGERPRINT)),
     ],
 )
-def test_calls_are_taken_by_their_keys(header, age, bounds, admission):
+def test_admission_depends_on_key_and_configuration_age(header, age, bounds, admission):
     assert admit(DIRECTORY, False, header, age, bounds) == admission
 
 
@@ -115,15 +115,15 @@
         (DIRECTORY, "Bearer k1", Admitted("studio", 1)),
     ],
 )
-def test_public_calls_need_no_key(directory, header, admission):
+def test_public_calls_are_admitted_without_a_key(directory, header, admission):
     assert admit(directory, True, header, 60.0, STRICT) == admission
 
 
-def test_without_accounts_no_call_needs_a_key():
+def test_calls_need_no_key_if_no_accounts_are_configured():
     assert admit(None, False, "", 60.0, STRICT) == Admitted()
 
 
-def test_a_flood_of_bad_keys_is_counted_and_logged_now_and_then(caplog):
+def test_refused_keys_are_all_counted_but_logged_at_a_limited_rate(caplog):
     caplog.set_level("INFO")
     clock, metrics = ManualClock(), Registry()
     gate = AccountGate(lambda: 0.0, BOUNDS, clock, metrics)
@@ -131,9 +131,9 @@
         gate.check(DIRECTORY, 7, False, f"Bearer bad{number}")
     clock.advance(LOG_INTERVAL_SECONDS)
     gate.check(DIRECTORY, 7, False, "Bearer bad100")
-    lines = [one.getMessage() for one in caplog.records]
+    lines = [record.getMessage() for record in caplog.records]
     assert len(lines) == 2
     assert "unlogged=99" in lines[1]
     assert not any("bad" in line for line in lines)
-    counted = 'calls_without_account_total{reason="unknown_key"} 101'
-    assert counted in metrics.render_text()
+    metric = 'calls_without_account_total{reason="unknown_key"} 101'
+    assert metric in metrics.render_text()
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -1,8 +1,8 @@
-"""A random walk over the holders of a duty: the platform judges what it gets.
+"""Stateful test of the usage duty: the platform stand-in judges all reports it gets.
 
-Machines may believe anything of who lives, hear of the agreed row late, be cut off,
-start again or write without an answer; calls take their time, their answers are lost,
-and times of day jump.
+Machines may have any view of the live members, read the assignment row late, be cut off
+from the store, restart, or write without an answer. Calls are slow, their answers get
+lost, and times of day jump.
 """
 
 import itertools
@@ -42,11 +42,11 @@
 
 
 class SteppedClock:
-    """A machine's clock, whose time of day may be wrong."""
+    """A machine's clock, whose time of day may be off by some seconds."""
 
     def __init__(self, steady):
         self._steady = steady
-        self.wrong_by = 0.0
+        self.seconds_off = 0.0
 
     def monotonic(self):
         return self._steady.monotonic()
@@ -55,31 +55,31 @@
         return self._steady.boottime()
 
     def time(self):
-        return self._steady.time() + self.wrong_by
+        return self._steady.time() + self.seconds_off
 
 
 class Platform:
-    """Takes reports; a call arrives late, and its answer may be lost."""
+    """Accepts reports; a call may arrive late, and its answer may be lost."""
 
     def __init__(self, clock, judge):
         self.clock = clock
         self.judge = judge
-        self.way = 0.0
-        self.lost = False
+        self.transit_seconds = 0.0
+        self.answers_lost = False
         self.down = False
 
     def report_usage(self, window, counts, holder, fence):
         if self.down:
             return NotTaken("down")
-        self.clock.advance(self.way)
+        self.clock.advance(self.transit_seconds)
         now = self.clock.monotonic()
         self.judge.take(DutyCall(SUBJECT, holder, fence, now))
         self.judge.take_usage(window, dict(counts))
-        return NotTaken("lost") if self.lost else Taken()
+        return NotTaken("lost") if self.answers_lost else Taken()
 
 
 class Machine:
-    """A process with its part in the duty."""
+    """A process with its usage reporter and its rights."""
 
     def __init__(self, name, walk):
         self.name = name
@@ -110,19 +110,19 @@
             self.log,
             self.held,
             lambda: self.member,
-            lambda: [one.member for one in walk.machines.values()],
+            lambda: [machine.member for machine in walk.machines.values()],
             walk.platform,
             BOUNDS,
             self.clock,
             Registry(),
         )
 
-    def hear(self, row):
-        heard = decode_assignment(row.value, row.revision)
-        self.keeper.take(heard)
-        self.rights.take(heard)
-        if self.assignment is None or heard.revision > self.assignment.revision:
-            self.assignment = heard
+    def read_row(self, row):
+        assignment = decode_assignment(row.value, row.revision)
+        self.keeper.take(assignment)
+        self.rights.take(assignment)
+        if self.assignment is None or assignment.revision > self.assignment.revision:
+            self.assignment = assignment
 
     def collect(self, members, since, collection: Collection):
         """Ask the other machines, as `StartCollector` does over the network."""
@@ -132,20 +132,23 @@
             if other.cut or self.cut:
                 continue
             own = [
-                AgedStart(one.number, one.account, now - one.at)
-                for one in other.log.since(since)
+                AgedStart(start.number, start.account, now - start.at)
+                for start in other.log.since(since)
             ]
             held = [
                 ProcessStarts(
                     incarnation,
-                    [AgedStart(one.number, one.account, now - one.at) for one in of],
+                    [
+                        AgedStart(start.number, start.account, now - start.at)
+                        for start in starts
+                    ],
                 )
-                for incarnation, of in other.held.since(since).items()
+                for incarnation, starts in other.held.since(since).items()
             ]
-            told = StartsReply(
+            reply = StartsReply(
                 ProcessStarts(member.incarnation, own), held, other.clock.time(), 0.0
             )
-            collection.add_reply(member, told, now, now)
+            collection.add_reply(member, reply, now, now)
 
     def act(self):
         if self.reporter._holder(SUBJECT) == self.name:
@@ -153,7 +156,7 @@
 
 
 class UsageWalk(RuleBasedStateMachine):
-    """Machines report as their rights let them."""
+    """Machines report usage as their rights permit."""
 
     def __init__(self):
         super().__init__()
@@ -164,20 +167,20 @@
         self.machines = {}
         for name in NAMES:
             self.machines[name] = Machine(name, self)
-        self.truth = {}
+        self.true_counts = {}
         seen = frozenset(NAMES)
         for machine in self.machines.values():
             machine.present = Present(seen, seen)
         for _ in range(4):
             self.clock.advance(1.0)
-            self.everyone_goes_on()
+            self.all_machines_act()
 
     @rule()
-    def everyone_goes_on(self):
+    def all_machines_act(self):
         for machine in self.machines.values():
             machine.keeper.look()
         for name in NAMES:
-            self.machine_hears(name)
+            self.machine_reads_the_row(name)
         for machine in self.machines.values():
             machine.act()
 
@@ -189,96 +192,100 @@
     def request_begins(self, name, account):
         self.machines[name].log.add(account)
         at = self.clock.time() + TRANSIT_SECONDS
-        counts = self.truth.setdefault(BOUNDS.window_at(at), {})
+        counts = self.true_counts.setdefault(BOUNDS.window_at(at), {})
         counts[account] = counts.get(account, 0) + 1
 
     @rule(name=st.sampled_from(NAMES))
-    def process_starts_again(self, name):
-        """Another machine holds copies of its starts, and never loses them."""
+    def process_restarts(self, name):
+        """Another machine holds copies of the process's starts and never loses them."""
         old = self.machines[name]
         new = Machine(name, self)
         new.store.late = old.store.late
         new.held = new.reporter._held = old.held
         holder = self.machines[NAMES[NAMES.index(name) - 1]]
-        starts = [(one.number, one.account, one.at) for one in old.log.after(0)]
+        starts = [
+            (start.number, start.account, start.at) for start in old.log.after(0)
+        ]
         now = self.clock.boottime()
         holder.held.hold(old.member.incarnation, starts, (), now)
         self.machines[name] = new
 
     @rule(name=st.sampled_from(NAMES), cut=st.booleans())
-    def machine_is_cut_off_or_back(self, name, cut):
+    def machine_loses_or_regains_the_store(self, name, cut):
         self.machines[name].store.cut = cut
 
     @rule(name=st.sampled_from(NAMES), seconds=st.sampled_from((-2.0, 0.0, 2.0)))
     def time_of_day_jumps(self, name, seconds):
-        """Never those of more than one machine of three."""
+        """At most one of the three machines has a wrong time of day."""
         for machine in self.machines.values():
-            machine.clock.wrong_by = 0.0
-        self.machines[name].clock.wrong_by = seconds
+            machine.clock.seconds_off = 0.0
+        self.machines[name].clock.seconds_off = seconds
 
     @rule(name=st.sampled_from(NAMES))
     def next_write_gets_no_answer(self, name):
         self.machines[name].store.lose = True
 
     @rule(name=st.sampled_from(NAMES))
-    def late_write_is_done(self, name):
+    def late_write_arrives(self, name):
         self.machines[name].store.deliver()
 
     @rule(name=st.sampled_from(NAMES), seconds=st.floats(0.0, 0.9))
     def next_read_is_slow(self, name, seconds):
         self.machines[name].store.after = seconds
 
-    @rule(lost=st.booleans(), down=st.booleans(), way=st.floats(0.0, FLIGHT_SECONDS))
-    def platform_changes(self, lost, down, way):
-        self.platform.lost, self.platform.down = lost, down
-        self.platform.way = way
+    @rule(
+        lost=st.booleans(), down=st.booleans(), seconds=st.floats(0.0, FLIGHT_SECONDS)
+    )
+    def platform_changes(self, lost, down, seconds):
+        self.platform.answers_lost, self.platform.down = lost, down
+        self.platform.transit_seconds = seconds
 
     @rule(name=st.sampled_from(NAMES), entries=st.sets(st.sampled_from(NAMES)))
-    def entry_believes(self, name, entries):
-        """Whoever it does not see it takes to be gone for long."""
+    def entry_view_changes(self, name, entries):
+        """Entries that the machine doesn't see count as absent for long."""
         absent = dict.fromkeys(set(NAMES) - entries, 1000.0)
         seen = frozenset(entries)
         self.machines[name].present = Present(seen, seen, absent=absent)
 
     @rule(name=st.sampled_from(NAMES))
-    def entry_looks_after_the_row(self, name):
+    def entry_maintains_the_row(self, name):
         self.machines[name].keeper.look()
 
     @rule(name=st.sampled_from(NAMES))
-    def machine_hears(self, name):
+    def machine_reads_the_row(self, name):
         row = self.rows.get(ASSIGNMENT_KEY)
         if isinstance(row, Row):
-            self.machines[name].hear(row)
+            self.machines[name].read_row(row)
 
     @rule(name=st.sampled_from(NAMES))
     def machine_acts(self, name):
         self.machines[name].act()
 
     @invariant()
-    def reports_agree(self):
+    def reports_are_consistent(self):
         assert self.judge.violations == []
 
     @invariant()
-    def counts_are_true(self):
+    def counts_are_correct(self):
         for window, counts in self.judge.reports.items():
             if self.clock.time() >= BOUNDS.end(window) + SETTLE_SECONDS:
-                assert counts == self.truth.get(window, {}), window
+                assert counts == self.true_counts.get(window, {}), window
 
     def teardown(self):
-        """Once all live and hear each other, what has ended is reported."""
+        """Once all machines run and are connected, ended windows get reported."""
         seen = frozenset(NAMES)
         for machine in self.machines.values():
             machine.store.deliver()
             machine.store.cut = machine.store.lose = False
             machine.store.before = machine.store.after = 0.0
             machine.present = Present(seen, seen)
-        self.platform.lost = self.platform.down = False
-        self.platform.way = 0.0
+        self.platform.answers_lost = self.platform.down = False
+        self.platform.transit_seconds = 0.0
         for _ in range(120):
             self.clock.advance(0.25)
-            self.everyone_goes_on()
-        self.reports_agree()
-        self.counts_are_true()
+            self.all_machines_act()
+        self.reports_are_consistent()
+        self.counts_are_correct()
         now = self.clock.time()
         last = BOUNDS.window_at(now - BOUNDS.due) - 1
         assert last in self.judge.reports
@@ -292,17 +299,17 @@
 
 def holder_of(walk):
     return next(
-        one
-        for one in walk.machines.values()
-        if one.assignment.holder(SUBJECT) == one.name
+        machine
+        for machine in walk.machines.values()
+        if machine.assignment.holder(SUBJECT) == machine.name
     )
 
 
-def test_a_holder_that_was_replaced_sends_nothing_more():
-    """It has not heard of it, and still has something to send."""
+def test_replaced_holder_sends_no_more_reports():
+    """The holder has not read the new assignment and still has windows to send."""
     walk = UsageWalk()
     first = holder_of(walk)
-    walk.platform.lost = True
+    walk.platform.answers_lost = True
     walk.clock.advance(6.0)
     first.act()
     assert walk.judge.reports
@@ -314,14 +321,14 @@
         walk.clock.advance(0.25)
         for name in others:
             walk.machines[name].keeper.look()
-            walk.machine_hears(name)
+            walk.machine_reads_the_row(name)
             walk.machines[name].act()
         first.act()
         assert walk.judge.violations == []
     assert len({call.holder for call in walk.judge.calls}) == 2
 
 
-def test_a_write_that_is_done_late_is_found_and_sent():
+def test_counts_of_a_late_write_are_read_and_sent():
     walk = UsageWalk()
     holder = holder_of(walk)
     holder.log.add("studio")
