--- a/src/wigeonfront/targets/table.py
+++ b/src/wigeonfront/targets/table.py
@@ -58,8 +58,9 @@
 By then the store has dropped the registration of the incarnation that is gone."""
 
 MAX_CANDIDATES = 128
-"""Number of engines among which a free slot is sought first. The samples of a Lot need
-fewer, and neither the search nor the number of connections grows with the service."""
+"""Number of engines among which a free slot is sought first: more than the samples of a
+Lot need, and few enough that neither the search nor the number of connections grows
+with the service."""
 
 ASSUMED_OWNERS = 1
 """Number of other owners that are assumed to send as many runs as this one until they
