--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -17,8 +17,8 @@
     MAX_CATCH_UP_SECONDS,
     SETTLE_SECONDS,
     UsageBounds,
-    windows_to_fix,
     ended_windows,
+    windows_to_fix,
 )
 
 BOUNDS = UsageBounds(window=5.0, due=10.0)
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -203,9 +203,7 @@
         new.store.late = old.store.late
         new.held = new.reporter._held = old.held
         holder = self.machines[NAMES[NAMES.index(name) - 1]]
-        starts = [
-            (start.number, start.account, start.at) for start in old.log.after(0)
-        ]
+        starts = [(start.number, start.account, start.at) for start in old.log.after(0)]
         now = self.clock.boottime()
         holder.held.hold(old.member.incarnation, starts, (), now)
         self.machines[name] = new
