--- a/src/wigeonfront/accounts/authorization.py
+++ b/src/wigeonfront/accounts/authorization.py
@@ -14,19 +14,19 @@
 
 from dataclasses import dataclass
 
-from wigeonfront.accounts.directory import KEY_PATTERN, MOST_KEY_LENGTH
+from wigeonfront.accounts.directory import KEY_PATTERN, MAX_KEY_LENGTH
 
 SCHEME = "bearer"
 
 
 @dataclass(frozen=True, slots=True)
 class NoKey:
-    """The call brings no key."""
+    """The call has no key."""
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedKey:
-    """The call's header is of another scheme, comes twice or can't be read."""
+    """The header has another scheme, comes more than once or can't be parsed."""
 
 
 def read_key(header: str) -> str | NoKey | MalformedKey:
@@ -35,13 +35,14 @@
     Parameters
     ----------
     header : str
-        Empty where there is none; the values of several joined by commas.
+        Value of the header; empty if there is none. The values of several headers are
+        joined by commas.
     """
     text = header.strip(" \t")
     if not text:
         return NoKey()
     scheme, _, rest = text.partition(" ")
     key = rest.strip(" \t")
-    if scheme.lower() != SCHEME or len(key) > MOST_KEY_LENGTH:
+    if scheme.lower() != SCHEME or len(key) > MAX_KEY_LENGTH:
         return MalformedKey()
     return key if KEY_PATTERN.fullmatch(key) else MalformedKey()
--- a/src/wigeonfront/accounts/gate.py
+++ b/src/wigeonfront/accounts/gate.py
@@ -1,4 +1,4 @@
-"""Checks the keys of calls, and tells operators of those that were refused."""
+"""Checks the keys of calls, and counts and logs the refused ones for operators."""
 
 import logging
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 
 logger = logging.getLogger(__name__)
 
-LOG_PAUSE_SECONDS = 1.0
-"""Least time between two log lines about refused keys: a flood of bad keys must not
-crowd out the other lines."""
+LOG_INTERVAL_SECONDS = 1.0
+"""Minimum time between two log lines about refused keys, so that a flood of bad keys
+doesn't displace other log lines."""
 
 
 class AccountGate:
-    """Decides on each call that brings a key, or should.
+    """Decides about each call by its key; counts and logs refused calls.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
         self._refused = metrics.counter(
             "calls_without_account_total", "Calls whose key was refused.", ("reason",)
         )
-        self._logged_at = -LOG_PAUSE_SECONDS
+        self._logged_at = -LOG_INTERVAL_SECONDS
         self._unlogged = 0
 
     def check(
@@ -56,14 +56,14 @@
         public: bool,
         header: str,
     ) -> Admission:
-        """Return whether a call is taken, and for which account.
+        """Return whether a call is accepted, and for which account.
 
         Parameters
         ----------
         directory : AccountDirectory or None
-            Of the configuration in force.
+            Directory of the configuration in force.
         version : int
-            Of that configuration, for the log.
+            Version of that configuration, for the log.
         public, header
             As for `admit`.
         """
@@ -76,7 +76,7 @@
 
     def _log(self, admission: Admission, version: int, age: float) -> None:
         now = self._clock.monotonic()
-        if now - self._logged_at < LOG_PAUSE_SECONDS:
+        if now - self._logged_at < LOG_INTERVAL_SECONDS:
             self._unlogged += 1
             return
         event(
--- a/src/wigeonfront/rollout/engine_loads.py
+++ b/src/wigeonfront/rollout/engine_loads.py
@@ -20,7 +20,7 @@
 from wigeonfront.http.raw import RawCall
 from wigeonfront.observability.logs import event
 from wigeonfront.targets.table import TargetTable
-from wigeonfront.targets.views import EngineState, OthersEngines
+from wigeonfront.targets.views import EngineState, OtherOwnersReport
 
 logger = logging.getLogger(__name__)
 
@@ -129,7 +129,7 @@
             self._log(address, answer)
         known = [answer for answer in answers.values() if isinstance(answer, list)]
         states = [state for answer in known for state in answer]
-        self._table.learn(OthersEngines(len(answers), states))
+        self._table.set_other_owners(OtherOwnersReport(len(answers), states))
 
     def _ask(self, address: str) -> list[EngineState] | LoadsUnknown:
         answer = self._pools.post(address, LOADS_PATH, b"", ANSWER_SECONDS)
--- a/src/wigeonfront/rollout/placement.py
+++ b/src/wigeonfront/rollout/placement.py
@@ -24,7 +24,7 @@
     should_move,
     usable_engines,
 )
-from wigeonfront.targets.table import MOST_LOOKED_AT, TargetTable
+from wigeonfront.targets.table import MAX_CANDIDATES, TargetTable
 from wigeonfront.targets.views import TargetView
 
 logger = logging.getLogger(__name__)
@@ -80,7 +80,7 @@
             Slots are short, and other owners get their share of them.
         """
         # All engines are considered where any of them may have the text's version.
-        limit = None if waiting.needs.text_version else MOST_LOOKED_AT
+        limit = None if waiting.needs.text_version else MAX_CANDIDATES
         views = self._table.views(service, limit)
         chosen = self._choose(waiting, views, service, group_targets, shared)
         if chosen is None and len(views) == limit:
@@ -174,7 +174,7 @@
         # Once more than the estimate is generated, as much again is expected.
         left = max(expected - events * tokens_for_event, events * tokens_for_event)
         usable = usable_engines(
-            self._table.views(view.target.service, MOST_LOOKED_AT),
+            self._table.views(view.target.service, MAX_CANDIDATES),
             running.needs,
             self._clock.monotonic(),
         )
@@ -183,7 +183,7 @@
             for other in usable
             # An engine that is about to load other weights would refuse the run.
             if other.target.id != view.target.id
-            and state.sample.model not in other.closing
+            and state.sample.model not in other.loading
         ]
         return should_move(others, pace, left, pace / tokens_for_event, state.moves)
 
--- a/src/wigeonfront/rollout/scheduling.py
+++ b/src/wigeonfront/rollout/scheduling.py
@@ -155,7 +155,7 @@
         version = view.versions.get(self.model)
         if self.text_version:
             return version == self.text_version
-        if self.single_version and self.model in view.closing:
+        if self.single_version and self.model in view.loading:
             return False
         return version is None or version >= self.min_version
 
@@ -371,7 +371,7 @@
     delay, so that a slot that becomes free would stay unused until the next exchange
     of loads. Samples beyond the engine's slots wait at the engine.
     """
-    return view.free + int(QUEUE_SHARE * view.target.slots) > 0
+    return view.free_slots + int(QUEUE_SHARE * view.target.slots) > 0
 
 
 def has_shared_room(view: TargetView) -> bool:
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -35,7 +35,7 @@
 from wigeonfront.spool import SpoolClient
 from wigeonfront.targets.table import PROBE_SECONDS, TargetTable
 from wigeonfront.targets.target import Target
-from wigeonfront.targets.views import EngineState, OthersEngines
+from wigeonfront.targets.views import EngineState, OtherOwnersReport
 
 MODEL = "m"
 SAMPLE = Sample("s1", "/x", (), b"", "g", MODEL)
@@ -73,7 +73,7 @@
 def make_runner(samples, versions, caller=None):
     clock = ManualClock(100.0)
     table = TargetTable(clock, random.Random(1))
-    table.replace(
+    table.set_targets(
         Target(id, "s", f"h:{id}", "z", 2, versions={MODEL: version})
         for id, version in versions.items()
     )
@@ -119,12 +119,12 @@
     """
     clock = ManualClock(100.0)
     table = TargetTable(clock, random.Random(1))
-    table.replace(
+    table.set_targets(
         Target(id, "s", f"h:{id}", "z", 2, versions={MODEL: version})
         for id, version in {"old": 4, "new": 5}.items()
     )
     for _ in range(slots_taken):
-        table.started("old", MODEL)
+        table.record_started("old", MODEL)
     progress = LotProgress(LOT, 1, [])
     state = progress.open["s1"]
     state.text = Text([b"x"] * events, {4})
@@ -196,7 +196,7 @@
     runner = make_runner(runs, {"a": 4, "b": 4, "c": 4})
     table = runner._table
     states = [EngineState(id, others, 0.0, 0.0) for id in "abc"]
-    table.learn(OthersEngines(1, states))
+    table.set_other_owners(OtherOwnersReport(1, states))
     lot = replace(LOT, single_version=False)
     runner.adopt(lot, 1)
     sending(runner)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -107,7 +107,7 @@
 
 
 OLD, NEW = engine("old", version=3), engine("new", 4, version=4)
-CLOSING = engine("closing", version=3, closing=frozenset({MODEL}))
+CLOSING = engine("closing", version=3, loading=frozenset({MODEL}))
 
 
 @pytest.mark.parametrize(
