--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -266,17 +266,17 @@
     ),
     _mutation(
         "a keyed request whose process has just started may have run",
-        "forwarding/keyed.py",
+        "forwarding/idempotency.py",
         "elif now - missing_since >= MISSING_SECONDS:",
         "elif True:",
-        "test_keyed.py",
+        "test_idempotency.py",
     ),
     _mutation(
         "a key's record is written over",
-        "forwarding/keyed.py",
+        "forwarding/idempotency.py",
         "(Expect(row_key, 0),), (Put(row_key, value, lease),)",
         "(), (Put(row_key, value, lease),)",
-        "test_keyed.py",
+        "test_idempotency.py",
     ),
     _mutation(
         "circuits never open in a row",
--- a/src/wigeonfront/api/requests.py
+++ b/src/wigeonfront/api/requests.py
@@ -15,7 +15,7 @@
 from wigeonfront.configuration import Configuration, Route, RouteKind
 from wigeonfront.forwarding.attempt import ForwardRequest
 from wigeonfront.forwarding.forwarder import Ended, Forwarder
-from wigeonfront.forwarding.keyed import KeyedRequests
+from wigeonfront.forwarding.idempotency import IdempotentRequests
 from wigeonfront.forwarding.steps import DropRequest, Fail, ReturnAnswer
 from wigeonfront.forwarding.streams import StreamForwarder
 from wigeonfront.http.raw import RawCall
@@ -50,7 +50,7 @@
     ----------
     forwarder : Forwarder
     streams : StreamForwarder
-    keyed : KeyedRequests
+    idempotent_requests : IdempotentRequests
     engines : EngineHeaders
     callers : Callers
     clock : Clock
@@ -60,14 +60,14 @@
         self,
         forwarder: Forwarder,
         streams: StreamForwarder,
-        keyed: KeyedRequests,
+        idempotent_requests: IdempotentRequests,
         engines: EngineHeaders,
         callers: Callers,
         clock: Clock,
     ) -> None:
         self._forwarder = forwarder
         self._streams = streams
-        self._keyed = keyed
+        self._idempotent_requests = idempotent_requests
         self._engines = engines
         self._callers = callers
         self._clock = clock
@@ -132,7 +132,7 @@
 
         It goes on without its caller, who may ask for it again.
         """
-        return self._keyed.run(
+        return self._idempotent_requests.run(
             route.name,
             key,
             deadline,
--- a/src/wigeonfront/forwarding/keyed.py
+++ b/src/wigeonfront/forwarding/idempotency.py
@@ -79,7 +79,7 @@
     nonce: str
 
 
-class KeyedRequests:
+class IdempotentRequests:
     """Remembers keys in the store.
 
     Parameters
--- a/src/wigeonfront/node/interface.py
+++ b/src/wigeonfront/node/interface.py
@@ -16,7 +16,7 @@
 from wigeonfront.coordination.membership import Member
 from wigeonfront.coordination.rows import RowStore
 from wigeonfront.forwarding.forwarder import Forwarder
-from wigeonfront.forwarding.keyed import KeyedRequests
+from wigeonfront.forwarding.idempotency import IdempotentRequests
 from wigeonfront.forwarding.streams import StreamForwarder
 from wigeonfront.node.assigning import Assigning
 from wigeonfront.node.duties import UsagePart
@@ -68,7 +68,7 @@
     samples = PlatformSamples()
     callers = Callers(parts.gate)
     requests = RequestCalls(
-        parts.forwarder, parts.streams, _keyed(parts), samples, callers, parts.clock
+        parts.forwarder, parts.streams, _idempotent_requests(parts), samples, callers, parts.clock
     )
     return ApiFront(
         lambda: parts.configuration.current,
@@ -81,8 +81,8 @@
     )
 
 
-def _keyed(parts: InterfaceParts) -> KeyedRequests:
-    return KeyedRequests(
+def _idempotent_requests(parts: InterfaceParts) -> IdempotentRequests:
+    return IdempotentRequests(
         parts.store,
         lambda: parts.me().incarnation,
         lambda: {member.incarnation for member in parts.view.members()},
--- a/tests/test_keyed.py
+++ b/tests/test_idempotency.py
@@ -11,10 +11,10 @@
 from platform_standins.rows import MemoryRows
 from wigeonfront.clock import ManualClock, SystemClock
 from wigeonfront.forwarding.attempt import Answered
-from wigeonfront.forwarding.keyed import (
+from wigeonfront.forwarding.idempotency import (
     MISSING_SECONDS,
     MOST_ANSWER_BYTES,
-    KeyedRequests,
+    IdempotentRequests,
 )
 from wigeonfront.forwarding.steps import DropRequest, Fail, ReturnAnswer
 
@@ -22,7 +22,7 @@
 
 
 def keyed(rows, name, live=("n1", "n2"), clock=None):
-    return KeyedRequests(rows, lambda: name, lambda: set(live), clock or SystemClock())
+    return IdempotentRequests(rows, lambda: name, lambda: set(live), clock or SystemClock())
 
 
 def run(requests, send, key="k", seconds=1.0):
