--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -235,10 +235,10 @@
         "what may have run is sent again",
         "forwarding/steps.py",
         "if state.repeatable and state.may_send:\n"
-        "        return SendAgain(outcome.reason)\n"
+        "        return Retry(outcome.reason)\n"
         "    return Fail(BAD_GATEWAY",
         "if state.may_send:\n"
-        "        return SendAgain(outcome.reason)\n"
+        "        return Retry(outcome.reason)\n"
         "    return Fail(BAD_GATEWAY",
         "test_forwarding_steps.py",
     ),
@@ -267,7 +267,7 @@
     _mutation(
         "a keyed request whose process has just started may have run",
         "forwarding/idempotency.py",
-        "elif now - missing_since >= MISSING_SECONDS:",
+        "elif now - missing_since >= OWNER_MISSING_SECONDS:",
         "elif True:",
         "test_idempotency.py",
     ),
@@ -536,7 +536,7 @@
     _mutation(
         "crashes of other entries are not heard of",
         "node/entry.py",
-        "        self._ledger.take(state.rows, state.revision)\n",
+        "        self._ledger.update(state.rows, state.revision)\n",
         "",
         "test_crashing_requests.py",
     ),
@@ -550,7 +550,7 @@
     _mutation(
         "requests share a target with a suspect",
         "forwarding/forwarder.py",
-        "avoided = self._guard.avoided(request)",
+        "avoided = self._guard.targets_to_avoid(request)",
         "avoided = ()",
         "test_quarantine.py",
     ),
@@ -578,7 +578,7 @@
     _mutation(
         "an answer clears nothing",
         "quarantine/guard.py",
-        "        if self._ledger.forget(digest):",
+        "        if self._ledger.clear(digest):",
         "        if False:",
         "test_quarantine.py",
         "test_crashing_requests.py",
@@ -593,28 +593,28 @@
     _mutation(
         "own crashes are forgotten before the mirror shows them",
         "quarantine/ledger.py",
-        "                if 0 < one.revision <= revision",
-        "                if 0 < one.revision",
+        "                if 0 < change.revision <= revision",
+        "                if 0 < change.revision",
         "test_quarantine.py",
     ),
     _mutation(
         "a crash on a kept connection is a send that never was",
         "forwarding/exchange.py",
-        "(silent or _target_ended(again))",
+        "(silent or _target_ended(second))",
         "silent",
         "test_forwarding.py",
     ),
     _mutation(
         "a refusal on a second connection is certain",
         "forwarding/exchange.py",
-        "(silent or _target_ended(again))",
-        "_target_ended(again)",
+        "(silent or _target_ended(second))",
+        "_target_ended(second)",
         "test_forwarding.py",
     ),
     _mutation(
         "a silent kept connection is waited for",
         "forwarding/exchange.py",
-        "until = min(deadline, kept_until)",
+        "until = min(deadline, reuse_deadline)",
         "until = deadline",
         "test_forwarding.py",
     ),
--- a/src/wigeonfront/api/quarantine.py
+++ b/src/wigeonfront/api/quarantine.py
@@ -34,7 +34,7 @@
     def release(self, call: RawCall) -> None:
         """Forget the crashes of a request, which is then sent again."""
         digest = unquote(call.path.removeprefix(QUARANTINE_PATH + "/"))
-        if not self._ledger.forget(digest):
+        if not self._ledger.clear(digest):
             raise Refused(404, "not_quarantined", digest[:100])
         call.reply_json(200, ReleasedReply(digest))
 
--- a/src/wigeonfront/forwarding/connections.py
+++ b/src/wigeonfront/forwarding/connections.py
@@ -175,7 +175,7 @@
         for connection in idle:
             connection.close()
 
-    def cut(self, target_id: str) -> None:
+    def abort_calls(self, target_id: str) -> None:
         """Break off all calls to a target that runs no more.
 
         Those that wait for its answers go on elsewhere at once: a machine that lost
--- a/src/wigeonfront/forwarding/exchange.py
+++ b/src/wigeonfront/forwarding/exchange.py
@@ -60,7 +60,7 @@
     def replaced(self, status: int) -> bool:
         """Tell whether another incarnation than the one that was meant answered."""
 
-    def belongs(self, request: ForwardRequest, headers: HTTPHeaderDict) -> bool:
+    def is_answer_to(self, request: ForwardRequest, headers: HTTPHeaderDict) -> bool:
         """Tell whether the answer is that of a target to this request."""
 
     def response_headers(self, headers: HTTPHeaderDict) -> Headers:
@@ -121,7 +121,7 @@
         run_seconds: float | None = None,
         handle: CallHandle | None = None,
         on_sent: OnSent = do_nothing,
-        kept_until: float | None = None,
+        reuse_deadline: float | None = None,
     ) -> Outcome:
         """Send `request` and read the whole answer.
 
@@ -129,12 +129,12 @@
         ----------
         deadline : float
             Monotonic time at which waiting ends.
-        caller, run_seconds, handle, on_sent, kept_until
+        caller, run_seconds, handle, on_sent, reuse_deadline
             As for `open`.
         """
         started = self._clock.monotonic()
         call = self.open(
-            request, target, deadline, caller, run_seconds, handle, on_sent, kept_until
+            request, target, deadline, caller, run_seconds, handle, on_sent, reuse_deadline
         )
         if isinstance(call, TimedOut):
             return TimedOut(self._clock.monotonic() - started)
@@ -166,7 +166,7 @@
         run_seconds: float | None = None,
         handle: CallHandle | None = None,
         on_sent: OnSent = do_nothing,
-        kept_until: float | None = None,
+        reuse_deadline: float | None = None,
     ) -> OpenCall | NotExecuted | Broken | CallerGone | TimedOut:
         """Send `request` and return once the head of the answer has come.
 
@@ -182,7 +182,7 @@
             Ends the request from another thread.
         on_sent : callable
             Called once the whole request is on its way; again if it is sent anew.
-        kept_until : float, optional
+        reuse_deadline : float, optional
             Monotonic time until which the head is waited for on a kept connection,
             which may have fallen silent; a request that may be repeated is then sent
             again on a new one.
@@ -196,8 +196,8 @@
             return CallerGone()
         send = _Send(request, target, connection, handle, self._clock.monotonic())
         until = deadline
-        if connection.used and kept_until is not None:
-            until = min(deadline, kept_until)
+        if connection.used and reuse_deadline is not None:
+            until = min(deadline, reuse_deadline)
         outcome = self._send_on(send, until, caller, run_seconds, on_sent)
         if isinstance(outcome, Broken) and outcome.lost:
             self._lost(send, outcome.reason)
@@ -216,7 +216,7 @@
             )
             refused = isinstance(again, NotExecuted)
             # The first send may have run, unless a living target had dropped it.
-            return outcome if refused and (silent or _target_ended(again)) else again
+            return outcome if refused and (silent or _target_ended(second)) else again
         if handle is not None and handle.cancelled and isinstance(outcome, Broken):
             return CallerGone()
         return outcome
@@ -271,7 +271,7 @@
             self._drain(OpenCall(connection, response, self._connections, handle))
             replaced = self._protocol.replaced(response.status)
             return NotExecuted(f"status {response.status}", response.status, replaced)
-        if not self._protocol.belongs(send.request, response.headers):
+        if not self._protocol.is_answer_to(send.request, response.headers):
             return Broken("foreign answer")
         return OpenCall(
             connection,
@@ -297,7 +297,7 @@
             reason=reason,
         )
         seconds = self._clock.monotonic() - send.started
-        self._guard.lost(send.request, send.target, seconds)
+        self._guard.connection_lost(send.request, send.target, seconds)
 
     def _drain(self, call: OpenCall) -> None:
         """Read the short body of a refusal, so that its connection can be kept."""
--- a/src/wigeonfront/forwarding/forwarder.py
+++ b/src/wigeonfront/forwarding/forwarder.py
@@ -23,7 +23,7 @@
     DropRequest,
     Fail,
     ReturnAnswer,
-    SendAgain,
+    Retry,
     SendState,
     health_evidence,
     most_wait,
@@ -120,7 +120,7 @@
             patience = now + most_wait(state, view.latency)
             # Leaving a target serves nobody where there is no other to go to.
             until = patience if len(usable) > 1 else deadline
-            outcome = self.send(request, view, until, caller, kept_until=patience)
+            outcome = self.send(request, view, until, caller, reuse_deadline=patience)
             tried.add(view.target.id)
             if isinstance(outcome, Answered):
                 failed = outcome
@@ -131,14 +131,14 @@
             left = deadline - self._clock.monotonic()
             state = SendState(request.repeatable, sends_left, left, may_have_run)
             step = next_step(outcome, state)
-            if not isinstance(step, SendAgain):
+            if not isinstance(step, Retry):
                 return step
 
     def _choose(
         self, request: ForwardRequest, usable: Sequence[TargetView]
     ) -> TargetView | None:
         """Return a target, if it can be one that no other request may crash."""
-        avoided = self._guard.avoided(request)
+        avoided = self._guard.targets_to_avoid(request)
         return choose_target(usable, avoided, self._failure_domain) or choose_target(
             usable, (), self._failure_domain
         )
@@ -151,7 +151,7 @@
         caller: socket.socket | None = None,
         run_seconds: float | None = None,
         handle: CallHandle | None = None,
-        kept_until: float | None = None,
+        reuse_deadline: float | None = None,
     ) -> Outcome:
         """Send a request to one target, and take what its end says of the target.
 
@@ -159,7 +159,7 @@
         ----------
         deadline : float
             Monotonic time at which waiting ends.
-        caller, run_seconds, handle, kept_until
+        caller, run_seconds, handle, reuse_deadline
             As for `Exchange.open`.
         """
         target = view.target
@@ -177,7 +177,7 @@
                     run_seconds,
                     handle,
                     note.sent if request.account else do_nothing,
-                    kept_until,
+                    reuse_deadline,
                 )
         finally:
             seconds = self._clock.monotonic() - started
--- a/src/wigeonfront/forwarding/guard.py
+++ b/src/wigeonfront/forwarding/guard.py
@@ -17,7 +17,7 @@
     def sample_blocked_for(self, request: ForwardRequest) -> float:
         """Return the same for the request of a sample."""
 
-    def avoided(self, request: ForwardRequest) -> Collection[str]:
+    def targets_to_avoid(self, request: ForwardRequest) -> Collection[str]:
         """Return the ids of targets that another request may be about to crash."""
 
     def running(
@@ -25,7 +25,7 @@
     ) -> AbstractContextManager[None]:
         """Return a context in which `request` is at `target`."""
 
-    def lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
+    def connection_lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
         """Note that the connection to `target` was lost under `request`.
 
         Parameters
@@ -49,7 +49,7 @@
         """Return 0."""
         return 0.0
 
-    def avoided(self, request: ForwardRequest) -> Collection[str]:
+    def targets_to_avoid(self, request: ForwardRequest) -> Collection[str]:
         """Return none."""
         return ()
 
@@ -58,7 +58,7 @@
         """Do nothing at either end."""
         yield
 
-    def lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
+    def connection_lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
         """Ignore the loss."""
 
     def answered(self, request: ForwardRequest) -> None:
--- a/src/wigeonfront/forwarding/idempotency.py
+++ b/src/wigeonfront/forwarding/idempotency.py
@@ -37,7 +37,7 @@
 REMEMBERED_SECONDS = 600.0
 """How long a key is remembered at most, and half of it at least."""
 
-MISSING_SECONDS = 1.5
+OWNER_MISSING_SECONDS = 1.5
 """How long the process that sends a request must be unknown until it counts as gone:
 one that has just started is heard of within a second."""
 
@@ -175,7 +175,7 @@
                 missing_since = None
             elif missing_since is None:
                 missing_since = now
-            elif now - missing_since >= MISSING_SECONDS:
+            elif now - missing_since >= OWNER_MISSING_SECONDS:
                 return Fail(CONFLICT, "the process that ran it is gone")
             if now + POLL_SECONDS >= deadline:
                 return Fail(CONFLICT, "it may still run")
--- a/src/wigeonfront/forwarding/steps.py
+++ b/src/wigeonfront/forwarding/steps.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendAgain:
+class Retry:
     """Send the request to another target."""
 
     reason: str
@@ -75,7 +75,7 @@
     """The caller has gone; nobody is to be answered."""
 
 
-Step = SendAgain | ReturnAnswer | Fail | DropRequest
+Step = Retry | ReturnAnswer | Fail | DropRequest
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,28 +127,28 @@
 @next_step.register
 def _(outcome: Answered, state: SendState) -> Step:
     if outcome.status >= SERVER_ERROR and state.repeatable and state.may_send:
-        return SendAgain(f"status {outcome.status}")
+        return Retry(f"status {outcome.status}")
     return ReturnAnswer(outcome)
 
 
 @next_step.register
 def _(outcome: NotExecuted, state: SendState) -> Step:
     if state.may_send:
-        return SendAgain(outcome.reason)
+        return Retry(outcome.reason)
     return refusal(outcome.reason, state.may_have_run)
 
 
 @next_step.register
 def _(outcome: Broken, state: SendState) -> Step:
     if state.repeatable and state.may_send:
-        return SendAgain(outcome.reason)
+        return Retry(outcome.reason)
     return Fail(BAD_GATEWAY, outcome.reason)
 
 
 @next_step.register
 def _(outcome: TimedOut, state: SendState) -> Step:
     if state.repeatable and state.may_send:
-        return SendAgain("timeout")
+        return Retry("timeout")
     return Fail(GATEWAY_TIMEOUT, "timeout")
 
 
--- a/src/wigeonfront/node/entry.py
+++ b/src/wigeonfront/node/entry.py
@@ -446,8 +446,8 @@
             duty.take(assignment)
 
     def _on_target_replaced(self, id: str) -> None:
-        self._guard.replaced(id)
-        self._connections.cut(id)
+        self._guard.target_replaced(id)
+        self._connections.abort_calls(id)
 
     def _is_first_member(self) -> bool:
         """Return whether this entry does what one entry should do for all."""
@@ -460,7 +460,7 @@
 
     def _on_live(self, mirror: Mirror) -> None:
         state = mirror.state()
-        self._ledger.take(state.rows, state.revision)
+        self._ledger.update(state.rows, state.revision)
         self._assigning.on_live()
         self._view.restore_registration()
         self._lots.owners_changed()
--- a/src/wigeonfront/platform/target_calls.py
+++ b/src/wigeonfront/platform/target_calls.py
@@ -62,7 +62,7 @@
         """Tell whether another incarnation than the one that was meant answered."""
         return status == MISDIRECTED
 
-    def belongs(self, request: ForwardRequest, headers: HTTPHeaderDict) -> bool:
+    def is_answer_to(self, request: ForwardRequest, headers: HTTPHeaderDict) -> bool:
         """Tell whether the answer is that of a target to this request.
 
         A target repeats the attempt's id and seals its answer; bodies are asked for
--- a/src/wigeonfront/quarantine/guard.py
+++ b/src/wigeonfront/quarantine/guard.py
@@ -116,7 +116,7 @@
         )
         return seconds
 
-    def avoided(self, request: ForwardRequest) -> Collection[str]:
+    def targets_to_avoid(self, request: ForwardRequest) -> Collection[str]:
         """Return the ids of targets that another request may be about to crash.
 
         What shares a target with it would be taken for the cause as well, and follow
@@ -144,7 +144,7 @@
             with self._lock:
                 self._suspects_running.remove(suspect)
 
-    def lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
+    def connection_lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
         """Note that the connection to `target` was lost under `request`.
 
         Parameters
@@ -165,7 +165,7 @@
             self._crashed(crash, "replaced")
         self._ledger.wait_written(crash, AGREE_SECONDS)
 
-    def replaced(self, id: str) -> None:
+    def target_replaced(self, id: str) -> None:
         """Note that a target runs no more, as another incarnation has registered."""
         now = self._clock.monotonic()
         with self._lock:
@@ -181,7 +181,7 @@
         if self._ledger.empty:
             return
         digest = fingerprint(request)
-        if self._ledger.forget(digest):
+        if self._ledger.clear(digest):
             event(logger, "crashes_cleared", request=request.id, fingerprint=digest)
 
     def _suspect(self, crash: Crash) -> bool:
--- a/src/wigeonfront/quarantine/ledger.py
+++ b/src/wigeonfront/quarantine/ledger.py
@@ -82,7 +82,7 @@
             self._change(Change(crash.key, crash))
             return True
 
-    def forget(self, fingerprint: str) -> bool:
+    def clear(self, fingerprint: str) -> bool:
         """Remove the crashes of a request; return whether there were any."""
         with self._lock:
             known = list(self._known.get(fingerprint, {}))
@@ -95,9 +95,9 @@
         for fingerprint in self.fingerprints():
             crashes = self.crashes(fingerprint)
             if crashes and forget_at(crashes) <= now:
-                self.forget(fingerprint)
+                self.clear(fingerprint)
 
-    def take(self, rows: Mapping[str, Row], revision: int) -> None:
+    def update(self, rows: Mapping[str, Row], revision: int) -> None:
         """Take the rows that the store shows at a revision; older ones are ignored.
 
         Parameters
@@ -116,7 +116,7 @@
             seen = [
                 key
                 for key, one in self._changes.items()
-                if 0 < one.revision <= revision
+                if 0 < change.revision <= revision
             ]
             if agreed == self._agreed and not seen:
                 return
--- a/src/wigeonfront/quarantine/writer.py
+++ b/src/wigeonfront/quarantine/writer.py
@@ -96,7 +96,7 @@
         listing = self._store.list(CRASH_PREFIX)
         if isinstance(listing, Listing):
             rows = {row.key: row for row in listing.rows}
-            self._ledger.take(rows, listing.revision)
+            self._ledger.update(rows, listing.revision)
 
     def _forget_old(self) -> None:
         now = self._clock.monotonic()
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -376,7 +376,7 @@
     gone, stays = target(raw.address, "i-1@1"), target(other.address, "i-2")
     for one in (gone, stays):
         assert isinstance(exchange.send(request(), one, time.monotonic() + 1), Answered)
-    threading.Timer(0.2, connections.cut, args=("i-1@1",)).start()
+    threading.Timer(0.2, connections.abort_calls, args=("i-1@1",)).start()
     started = time.monotonic()
     outcome = exchange.send(request(False), gone, time.monotonic() + 3)
     assert isinstance(outcome, Broken)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -12,7 +12,7 @@
 from wigeonfront.clock import ManualClock, SystemClock
 from wigeonfront.forwarding.attempt import Answered
 from wigeonfront.forwarding.idempotency import (
-    MISSING_SECONDS,
+    OWNER_MISSING_SECONDS,
     MOST_ANSWER_BYTES,
     IdempotentRequests,
 )
@@ -121,7 +121,7 @@
 
     def answered_meanwhile(seconds):
         asleep(seconds)
-        if clock.monotonic() - 10.0 > 0.9 * MISSING_SECONDS:
+        if clock.monotonic() - 10.0 > 0.9 * OWNER_MISSING_SECONDS:
             first._note("keyed/route/k", claimed, ANSWER)
 
     clock.sleep = answered_meanwhile
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -259,7 +259,7 @@
         run_seconds,
         handle,
         on_sent,
-        kept_until,
+        reuse_deadline,
     ):
         on_sent()
         outcome, share = self.script.pop(0)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -105,7 +105,7 @@
     caplog.set_level("INFO")
     ledger = CrashLedger()
     for revision in (5, 6):
-        ledger.take({key: Row(key, value, 5)}, revision)
+        ledger.update({key: Row(key, value, 5)}, revision)
     assert ledger.empty
     assert len([one for one in caplog.records if "bad_row" in one.message]) == 1
 
@@ -124,12 +124,12 @@
 def test_own_crashes_hold_before_the_store_has_them_and_until_it_shows_them():
     ledger = CrashLedger()
     ledger.add(crash(1))
-    ledger.take(rows_of(crash(2)), 10)
+    ledger.update(rows_of(crash(2)), 10)
     assert len(ledger.crashes("f")) == 2
     ledger.written(ledger.wait_due(16, 0.0), 12)
-    ledger.take(rows_of(crash(2)), 11)
+    ledger.update(rows_of(crash(2)), 11)
     assert len(ledger.crashes("f")) == 2
-    ledger.take(rows_of(crash(2)), 12)
+    ledger.update(rows_of(crash(2)), 12)
     assert ledger.crashes("f") == [crash(2)]
 
 
@@ -137,9 +137,9 @@
     ledger = CrashLedger()
     ledger.add(crash(1))
     writing = ledger.wait_due(16, 0.0)
-    assert ledger.forget("f")
+    assert ledger.clear("f")
     ledger.written(writing, 5)
-    ledger.take(rows_of(crash(1)), 5)
+    ledger.update(rows_of(crash(1)), 5)
     assert ledger.empty
     assert [one.crash for one in ledger.wait_due(16, 0.0)] == [None]
 
@@ -147,7 +147,7 @@
 def test_old_crashes_are_removed_and_others_stay():
     ledger = CrashLedger()
     old, new = crash(1, at=0.0, digest="old"), crash(2, at=HOUR, digest="new")
-    ledger.take(rows_of(old, new), 1)
+    ledger.update(rows_of(old, new), 1)
     ledger.forget_old(HOUR + 1)
     assert ledger.fingerprints() == ["new"]
 
@@ -183,7 +183,7 @@
         listing = self.store.list(CRASH_PREFIX)
         rows = {row.key: row for row in getattr(listing, "rows", ())}
         if hasattr(listing, "rows"):
-            self.ledgers[entry].take(rows, listing.revision)
+            self.ledgers[entry].update(rows, listing.revision)
 
     @rule(count=st.integers(1, 3), done=st.booleans())
     def lose_writes(self, count, done):
@@ -202,7 +202,7 @@
 
     @rule(entry=st.integers(0, 2))
     def answer(self, entry):
-        self.ledgers[entry].forget("f")
+        self.ledgers[entry].clear("f")
         assert self.ledgers[entry].crashes("f") == []
         self.answered = True
 
@@ -242,7 +242,7 @@
         writer = CrashWriter(ledger, store, lambda: False, ManualClock())
         writer.write(ledger.wait_due(16, 0.0))
     assert [one.target for one in behind.crashes("f")] == ["i-1", "i-2"]
-    behind.take({}, 0)
+    behind.update({}, 0)
     assert len(behind.crashes("f")) == 2
 
 
@@ -320,7 +320,7 @@
         target = self.targets[number]
         self.ended.add(target.address)
         self.clock.advance(1.0)
-        self.guard.lost(request, target, 0.5)
+        self.guard.connection_lost(request, target, 0.5)
 
 
 def test_a_request_that_crashed_three_targets_is_blocked_under_any_id():
@@ -344,7 +344,7 @@
 def test_a_connection_lost_to_a_target_that_lives_is_no_crash():
     guarded = Guarded()
     for target in guarded.targets:
-        guarded.guard.lost(REQUEST, target, 0.5)
+        guarded.guard.connection_lost(REQUEST, target, 0.5)
     guarded.clock.advance(60.0)
     assert guarded.ledger.empty
 
@@ -368,12 +368,12 @@
     """Its port is taken by the next incarnation, so connections are not refused."""
     guarded = Guarded()
     if replaced_after < 0:
-        guarded.guard.replaced("i-0")
+        guarded.guard.target_replaced("i-0")
         guarded.clock.advance(-replaced_after)
-    guarded.guard.lost(REQUEST, guarded.targets[0], 0.5)
+    guarded.guard.connection_lost(REQUEST, guarded.targets[0], 0.5)
     guarded.clock.advance(max(0.0, replaced_after))
     if replaced_after >= 0:
-        guarded.guard.replaced("i-0")
+        guarded.guard.target_replaced("i-0")
     assert guarded.ledger.empty is not counts
 
 
@@ -382,14 +382,14 @@
     first, second = guarded.targets[1:3]
     guarded.crash(0)
     with guarded.guard.running(OTHER, second):
-        assert not guarded.guard.avoided(REQUEST)
+        assert not guarded.guard.targets_to_avoid(REQUEST)
     with guarded.guard.running(REQUEST, first):
-        assert guarded.guard.avoided(OTHER) == {"i-1"}
-        assert not guarded.guard.avoided(AGAIN)
+        assert guarded.guard.targets_to_avoid(OTHER) == {"i-1"}
+        assert not guarded.guard.targets_to_avoid(AGAIN)
         with guarded.guard.running(AGAIN, first):
             pass
-        assert guarded.guard.avoided(OTHER) == {"i-1"}
-    assert not guarded.guard.avoided(OTHER)
+        assert guarded.guard.targets_to_avoid(OTHER) == {"i-1"}
+    assert not guarded.guard.targets_to_avoid(OTHER)
 
 
 class RecordingExchange:
@@ -402,7 +402,7 @@
 
     def send(self, request, target, *others):
         self.sent.append(target.id)
-        self.avoided.append(set(self.guard.avoided(OTHER)))
+        self.avoided.append(set(self.guard.targets_to_avoid(OTHER)))
         return Answered(200, (), b"")
 
 
@@ -439,7 +439,7 @@
     )
     forwarder.forward(REQUEST, ROUTE, guarded.clock.monotonic() + 1.0, None)
     assert exchange.avoided == [{"i-0"}]
-    assert not guarded.guard.avoided(OTHER)
+    assert not guarded.guard.targets_to_avoid(OTHER)
 
 
 def test_an_answer_clears_the_request():
