--- a/src/wigeonfront/forwarding/connections.py
+++ b/src/wigeonfront/forwarding/connections.py
@@ -145,7 +145,10 @@
         """
         while (pooled := self._pop_idle(target_id)) is not None:
             age = self._clock.monotonic() - pooled.idle_since
-            if age <= min(max_idle_seconds, pooled.max_idle_seconds) and pooled.http_connection.is_connected:
+            if (
+                age <= min(max_idle_seconds, pooled.max_idle_seconds)
+                and pooled.http_connection.is_connected
+            ):
                 with self._lock:
                     self._in_use.add(pooled)
                 return pooled
@@ -217,7 +220,10 @@
     def _open(self, target_id: str, address: str) -> Connection | NoConnection:
         host, port = parse_address(address)
         http_connection = HTTPConnection(
-            host, port, timeout=CONNECT_TIMEOUT_SECONDS, socket_options=_socket_options()
+            host,
+            port,
+            timeout=CONNECT_TIMEOUT_SECONDS,
+            socket_options=_socket_options(),
         )
         try:
             http_connection.connect()
--- a/src/wigeonfront/forwarding/exchange.py
+++ b/src/wigeonfront/forwarding/exchange.py
@@ -135,7 +135,14 @@
         """
         started = self._clock.monotonic()
         call = self.open(
-            request, target, deadline, caller, run_seconds, handle, on_sent, reuse_deadline
+            request,
+            target,
+            deadline,
+            caller,
+            run_seconds,
+            handle,
+            on_sent,
+            reuse_deadline,
         )
         if isinstance(call, TimedOut):
             return TimedOut(self._clock.monotonic() - started)
@@ -189,8 +196,12 @@
             which may no longer work. A request that may be repeated is then sent again
             on a new connection.
         """
-        max_idle_seconds = math.inf if request.repeatable else MAX_IDLE_UNREPEATABLE_SECONDS
-        connection = self._connections.acquire(target.id, target.address, max_idle_seconds)
+        max_idle_seconds = (
+            math.inf if request.repeatable else MAX_IDLE_UNREPEATABLE_SECONDS
+        )
+        connection = self._connections.acquire(
+            target.id, target.address, max_idle_seconds
+        )
         if isinstance(connection, NoConnection):
             return NotExecuted(connection.reason)
         if handle is not None and not handle.attach(connection.sock):
--- a/src/wigeonfront/forwarding/forwarder.py
+++ b/src/wigeonfront/forwarding/forwarder.py
@@ -22,8 +22,8 @@
 from wigeonfront.forwarding.steps import (
     DropRequest,
     Fail,
-    ReturnAnswer,
     Retry,
+    ReturnAnswer,
     SendState,
     health_evidence,
     max_wait,
--- a/src/wigeonfront/forwarding/guard.py
+++ b/src/wigeonfront/forwarding/guard.py
@@ -25,7 +25,9 @@
     ) -> AbstractContextManager[None]:
         """Return a context manager that spans the run of `request` at `target`."""
 
-    def connection_lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
+    def connection_lost(
+        self, request: ForwardRequest, target: Target, seconds: float
+    ) -> None:
         """Record that the connection to `target` was lost during `request`.
 
         Parameters
@@ -58,7 +60,9 @@
         """Do nothing when the run begins and ends."""
         yield
 
-    def connection_lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
+    def connection_lost(
+        self, request: ForwardRequest, target: Target, seconds: float
+    ) -> None:
         """Ignore the loss."""
 
     def answered(self, request: ForwardRequest) -> None:
--- a/src/wigeonfront/forwarding/idempotency.py
+++ b/src/wigeonfront/forwarding/idempotency.py
@@ -166,7 +166,9 @@
             return _not_run(outcome.reason)
         return self._resolve_uncertain_write(row_key, nonce)
 
-    def _resolve_uncertain_write(self, row_key: str, nonce: str) -> _Claimed | Fail | None:
+    def _resolve_uncertain_write(
+        self, row_key: str, nonce: str
+    ) -> _Claimed | Fail | None:
         """Read back a record whose write is uncertain, because its answer was lost.
 
         The write may also take effect later. It then leaves a record of a request that
@@ -219,7 +221,12 @@
         whole = len(answer.body) <= MAX_ANSWER_BYTES
         body = answer.body if whole else b""
         return _Record(
-            self._incarnation(), claimed.nonce, answer.status, answer.headers, body, whole
+            self._incarnation(),
+            claimed.nonce,
+            answer.status,
+            answer.headers,
+            body,
+            whole,
         )
 
     def _current_lease(self) -> int:
--- a/src/wigeonfront/forwarding/streams.py
+++ b/src/wigeonfront/forwarding/streams.py
@@ -253,7 +253,9 @@
         )
         return ended, last_id
 
-    def _forward_error(self, opened: OpenCall, target_id: str, call: RawCall) -> StreamEnd:
+    def _forward_error(
+        self, opened: OpenCall, target_id: str, call: RawCall
+    ) -> StreamEnd:
         body = b""
         try:
             body = b"".join(opened.pieces(MAX_EVENT_GAP_SECONDS))
--- a/src/wigeonfront/node/interface.py
+++ b/src/wigeonfront/node/interface.py
@@ -68,7 +68,12 @@
     samples = PlatformSamples()
     callers = Callers(parts.gate)
     requests = RequestCalls(
-        parts.forwarder, parts.streams, _idempotent_requests(parts), samples, callers, parts.clock
+        parts.forwarder,
+        parts.streams,
+        _idempotent_requests(parts),
+        samples,
+        callers,
+        parts.clock,
     )
     return ApiFront(
         lambda: parts.configuration.current,
--- a/src/wigeonfront/quarantine/guard.py
+++ b/src/wigeonfront/quarantine/guard.py
@@ -146,7 +146,9 @@
             with self._lock:
                 self._suspects_running.remove(suspect)
 
-    def connection_lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
+    def connection_lost(
+        self, request: ForwardRequest, target: Target, seconds: float
+    ) -> None:
         """Record that the connection to `target` was lost during `request`.
 
         Parameters
@@ -208,7 +210,9 @@
             self._discard_expired(now)
             if crash.target in self._replaced:
                 return False
-            self._possible_crashes.append(_PossibleCrash(crash, now + REPLACEMENT_WINDOW_SECONDS))
+            self._possible_crashes.append(
+                _PossibleCrash(crash, now + REPLACEMENT_WINDOW_SECONDS)
+            )
             return True
 
     def _discard_expired(self, now: float) -> None:
@@ -216,10 +220,14 @@
             possible for possible in self._possible_crashes if now < possible.until
         ]
         self._replaced = {
-            id: at for id, at in self._replaced.items() if now < at + REPLACEMENT_WINDOW_SECONDS
+            id: at
+            for id, at in self._replaced.items()
+            if now < at + REPLACEMENT_WINDOW_SECONDS
         }
 
-    def _describe_crash(self, request: ForwardRequest, target: Target, seconds: float) -> Crash:
+    def _describe_crash(
+        self, request: ForwardRequest, target: Target, seconds: float
+    ) -> Crash:
         now = self._clock.time()
         path = request.target.partition("?")[0]
         return Crash(
--- a/src/wigeonfront/quarantine/ledger.py
+++ b/src/wigeonfront/quarantine/ledger.py
@@ -109,13 +109,17 @@
         revision : int
             Revision of the store at which the rows were read.
         """
-        crash_rows = {key: row for key, row in rows.items() if key.startswith(CRASH_PREFIX)}
+        crash_rows = {
+            key: row for key, row in rows.items() if key.startswith(CRASH_PREFIX)
+        }
         crashes = {key: decode_crash(row) for key, row in crash_rows.items()}
         with self._lock:
             if revision < self._revision:
                 return
             self._revision = revision
-            self._log_malformed(row for key, row in crash_rows.items() if crashes[key] is None)
+            self._log_malformed(
+                row for key, row in crash_rows.items() if crashes[key] is None
+            )
             stored = {key: crash for key, crash in crashes.items() if crash is not None}
             confirmed = [
                 key
--- a/src/wigeonfront/quarantine/policy.py
+++ b/src/wigeonfront/quarantine/policy.py
@@ -60,7 +60,9 @@
     further = len(crashes) - CRASHES_TO_QUARANTINE
     if further < 0 or sequential_crashes(crashes) < SEQUENTIAL_CRASHES_TO_QUARANTINE:
         return 0.0
-    seconds = FIRST_QUARANTINE_SECONDS * QUARANTINE_GROWTH_FACTOR ** min(further, MAX_GROWTH_STEPS)
+    seconds = FIRST_QUARANTINE_SECONDS * QUARANTINE_GROWTH_FACTOR ** min(
+        further, MAX_GROWTH_STEPS
+    )
     return _newest(crashes) + min(seconds, MAX_QUARANTINE_SECONDS)
 
 
--- a/src/wigeonfront/quarantine/writer.py
+++ b/src/wigeonfront/quarantine/writer.py
@@ -57,7 +57,9 @@
         """Write changes until `stop` is set (a supervisor's task)."""
         pause = FIRST_RETRY_SECONDS
         while not stop.is_set():
-            changes = self._ledger.wait_pending(MAX_CHANGES_PER_WRITE, STOP_CHECK_SECONDS)
+            changes = self._ledger.wait_pending(
+                MAX_CHANGES_PER_WRITE, STOP_CHECK_SECONDS
+            )
             if not changes or self.write(changes):
                 pause = FIRST_RETRY_SECONDS
             else:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -103,7 +103,9 @@
     for entry in entries:
         wait_until_served(entry, HARMLESS)
     entries_in_turn = itertools.cycle(entries)
-    wait_for(lambda: send(next(entries_in_turn), CRASHES) and len(crashed_at(services)) >= 3)
+    wait_for(
+        lambda: send(next(entries_in_turn), CRASHES) and len(crashed_at(services)) >= 3
+    )
     quarantined_from = crashed_at(services)[2] + PROPAGATION_SECONDS
     time.sleep(max(0.0, quarantined_from - time.monotonic()))
     for _ in range(12):
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -304,7 +304,9 @@
 
 
 @pytest.mark.parametrize(("repeatable", "runs"), [(True, 2), (False, 1)])
-def test_a_request_whose_answer_is_lost_is_retried_only_if_repeatable(services, repeatable, runs):
+def test_a_request_whose_answer_is_lost_is_retried_only_if_repeatable(
+    services, repeatable, runs
+):
     services[0].cut = services[1].cut = True
     ended = forward(services, repeatable)
     assert isinstance(ended, Fail)
@@ -382,7 +384,9 @@
     connections, exchange = make_exchange()
     gone, stays = target(raw.address, "i-1@1"), target(other.address, "i-2")
     for each_target in (gone, stays):
-        assert isinstance(exchange.send(request(), each_target, time.monotonic() + 1), Answered)
+        assert isinstance(
+            exchange.send(request(), each_target, time.monotonic() + 1), Answered
+        )
     threading.Timer(0.2, connections.abort_calls, args=("i-1@1",)).start()
     started = time.monotonic()
     outcome = exchange.send(request(False), gone, time.monotonic() + 3)
@@ -475,9 +479,7 @@
         ([WHOLE.replace(b"r1", b"r2")], 1, []),
     ],
 )
-def test_a_connection_lost_during_a_request_is_logged(
-    caplog, script, times, lines
-):
+def test_a_connection_lost_during_a_request_is_logged(caplog, script, times, lines):
     caplog.set_level("INFO")
     send(*script, times=times)
     found = lost_lines(caplog)
--- a/tests/test_forwarding_steps.py
+++ b/tests/test_forwarding_steps.py
@@ -13,8 +13,8 @@
 from wigeonfront.forwarding.steps import (
     DropRequest,
     Fail,
-    ReturnAnswer,
     Retry,
+    ReturnAnswer,
     SendState,
     health_evidence,
     max_wait,
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -12,8 +12,8 @@
 from wigeonfront.clock import ManualClock, SystemClock
 from wigeonfront.forwarding.attempt import Answered
 from wigeonfront.forwarding.idempotency import (
-    OWNER_MISSING_SECONDS,
     MAX_ANSWER_BYTES,
+    OWNER_MISSING_SECONDS,
     IdempotentRequests,
 )
 from wigeonfront.forwarding.steps import DropRequest, Fail, ReturnAnswer
@@ -22,7 +22,9 @@
 
 
 def make_requests(rows, name, live=("n1", "n2"), clock=None):
-    return IdempotentRequests(rows, lambda: name, lambda: set(live), clock or SystemClock())
+    return IdempotentRequests(
+        rows, lambda: name, lambda: set(live), clock or SystemClock()
+    )
 
 
 def run(requests, send, key="k", seconds=1.0):
@@ -85,12 +87,16 @@
 
     answers = []
     first = threading.Thread(
-        target=lambda: answers.append(run(make_requests(rows, "n1"), send_slowly, seconds=5.0))
+        target=lambda: answers.append(
+            run(make_requests(rows, "n1"), send_slowly, seconds=5.0)
+        )
     )
     first.start()
     assert sending.wait(5.0)
     second = threading.Thread(
-        target=lambda: answers.append(run(make_requests(rows, "n2"), CountedSends(), seconds=5.0))
+        target=lambda: answers.append(
+            run(make_requests(rows, "n2"), CountedSends(), seconds=5.0)
+        )
     )
     second.start()
     finish.set()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -107,7 +107,9 @@
     for revision in (5, 6):
         ledger.update({key: Row(key, value, 5)}, revision)
     assert ledger.empty
-    assert len([record for record in caplog.records if "bad_row" in record.message]) == 1
+    assert (
+        len([record for record in caplog.records if "bad_row" in record.message]) == 1
+    )
 
 
 # --- the ledger ------------------------------------------------------------------
@@ -415,7 +417,7 @@
 
 @pytest.mark.parametrize(
     ("suspect_targets", "chosen"),
-    [([], "i-0"), (["i-0"], "i-1"), (["i-0", "i-1"], "i-0")]
+    [([], "i-0"), (["i-0"], "i-1"), (["i-0", "i-1"], "i-0")],
 )
 def test_targets_without_a_suspect_are_preferred(suspect_targets, chosen):
     guarded = Guarded()
