--- a/src/wigeonfront/forwarding/placement.py
+++ b/src/wigeonfront/forwarding/placement.py
@@ -8,7 +8,7 @@
 """Factor on the cost of a target in another failure domain. The network delay between
 failure domains is small against the work, but bandwidth between them is scarce."""
 
-UNKNOWN_LATENCY = 0.03
+UNKNOWN_LATENCY_SECONDS = 0.03
 """Latency in seconds that is assumed for a target that has not answered yet."""
 
 
@@ -53,7 +53,7 @@
 
 def expected_wait(view: TargetView, failure_domain: str) -> float:
     """Return the expected seconds until the target answers one more request."""
-    latency = view.latency or UNKNOWN_LATENCY
+    latency = view.latency or UNKNOWN_LATENCY_SECONDS
     queue = max(0, view.in_flight - view.target.slots + 1) / max(1, view.target.slots)
     busy = view.in_flight / max(1, view.target.slots)
     near = view.target.failure_domain == failure_domain
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -251,7 +251,7 @@
 
 
 def test_a_crash_is_written_before_its_request_is_retried():
-    """The retry within the same call follows at once."""
+    """An entry retries at once, so the crash must have been written by then."""
     store, ledger, stop = make_store(), CrashLedger(), threading.Event()
     others = CrashLedger()
     for number in (1, 2):
