--- a/src/wigeonfront/forwarding/guard.py
+++ b/src/wigeonfront/forwarding/guard.py
@@ -1,4 +1,4 @@
-"""What keeps requests that crash targets away from them, as forwarding sees it."""
+"""Interface through which forwarding is told which requests crash targets."""
 
 from collections.abc import Collection, Iterator
 from contextlib import AbstractContextManager, contextmanager
@@ -15,31 +15,33 @@
         """Return the seconds for which `request` must not be sent; 0 if it may be."""
 
     def sample_blocked_for(self, request: ForwardRequest) -> float:
-        """Return the same for the request of a sample."""
+        """Return the same for the request of a sample of a Lot."""
 
-    def avoided(self, request: ForwardRequest) -> Collection[str]:
+    def targets_to_avoid(self, request: ForwardRequest) -> Collection[str]:
         """Return the ids of targets that another request may be about to crash."""
 
     def running(
         self, request: ForwardRequest, target: Target
     ) -> AbstractContextManager[None]:
-        """Return a context in which `request` is at `target`."""
+        """Return a context manager that spans the run of `request` at `target`."""
 
-    def lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
-        """Note that the connection to `target` was lost under `request`.
+    def connection_lost(
+        self, request: ForwardRequest, target: Target, seconds: float
+    ) -> None:
+        """Record that the connection to `target` was lost during `request`.
 
         Parameters
         ----------
         seconds : float
-            Time since it was sent.
+            Seconds since the request was sent.
         """
 
     def answered(self, request: ForwardRequest) -> None:
-        """Note that a target has answered `request` whole."""
+        """Record that a target has answered `request` completely."""
 
 
 class NoGuard:
-    """Lets every request through, for tools that send only their own."""
+    """Allows every request, for tools that send only their own requests."""
 
     def blocked_for(self, request: ForwardRequest) -> float:
         """Return 0."""
@@ -49,16 +51,18 @@
         """Return 0."""
         return 0.0
 
-    def avoided(self, request: ForwardRequest) -> Collection[str]:
-        """Return none."""
+    def targets_to_avoid(self, request: ForwardRequest) -> Collection[str]:
+        """Return no targets."""
         return ()
 
     @contextmanager
     def running(self, request: ForwardRequest, target: Target) -> Iterator[None]:
-        """Do nothing at either end."""
+        """Do nothing when the run begins and ends."""
         yield
 
-    def lost(self, request: ForwardRequest, target: Target, seconds: float) -> None:
+    def connection_lost(
+        self, request: ForwardRequest, target: Target, seconds: float
+    ) -> None:
         """Ignore the loss."""
 
     def answered(self, request: ForwardRequest) -> None:
