--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -206,8 +206,8 @@
     _mutation(
         "a holder that is missing for a moment is replaced",
         "coordination/assignment.py",
-        "if present.absent.get(name, 0.0) < ABSENT_SECONDS",
-        "if present.absent.get(name, 0.0) <= 0.0",
+        "if view.absent.get(name, 0.0) < ABSENT_SECONDS",
+        "if view.absent.get(name, 0.0) <= 0.0",
         "test_assignment.py",
     ),
     _mutation(
@@ -220,14 +220,14 @@
     _mutation(
         "all engines load at once",
         "weights/plan.py",
-        "return min(turn * SPREAD_SECONDS, MOST_SPREAD_SECONDS)",
+        "return min(turn * SPREAD_SECONDS, MAX_SPREAD_SECONDS)",
         "return 0.0",
         "test_weight_plan.py",
     ),
     _mutation(
         "engines that are far behind wait for their turn",
         "weights/plan.py",
-        "if _lag(report, one) > AGREED_LAG + 1:",
+        "if _lag(report, newer) > ALLOWED_LAG + 1:",
         "if False:",
         "test_weight_plan.py",
     ),
@@ -316,7 +316,7 @@
     _mutation(
         "a feed that knows nothing new is followed",
         "coordination/feed.py",
-        "elif answer is not None and answer.age <= self._most_age:",
+        "elif answer is not None and answer.age <= self._max_age:",
         "elif answer is not None:",
         "test_mirror.py",
         "test_store_relay.py",
@@ -486,7 +486,7 @@
     ),
     _mutation(
         "the time of one clock is the true time",
-        "coordination/true_time.py",
+        "coordination/clock_offset.py",
         "statistics.median_low(offsets)",
         "offsets[0]",
         "test_usage.py",
@@ -642,7 +642,7 @@
     _mutation(
         "a disk that is not registered has no Lots",
         "rollout/pending.py",
-        "if seen.absent and seen.followed_for < LONGEST_ABSENCE_SECONDS:",
+        "if seen.absent and seen.followed_for < MAX_ABSENCE_SECONDS:",
         "if False:",
         "test_pending.py",
         "test_submissions.py",
@@ -679,8 +679,8 @@
     _mutation(
         "a registration was never missing",
         "coordination/membership.py",
-        "was_there = self._clock.boottime() < self._presence.until",
-        "was_there = True",
+        "still_registered = self._clock.boottime() < self._presence.until",
+        "still_registered = True",
         "test_membership.py",
     ),
 )
--- a/src/wigeonfront/coordination/assignment.py
+++ b/src/wigeonfront/coordination/assignment.py
@@ -8,12 +8,12 @@
 
 Examples
 --------
->>> all_here = Present(frozenset("ab"), frozenset("ab"))
->>> agreed = change_of(None, all_here)
+>>> all_here = MembershipView(frozenset("ab"), frozenset("ab"))
+>>> agreed = next_assignment(None, all_here)
 >>> agreed.holder("usage") in {"a", "b"}
 True
->>> one_lost = Present(frozenset("b"), frozenset("b"), absent={"a": ABSENT_SECONDS})
->>> moving = change_of(agreed, one_lost)
+>>> one_lost = MembershipView(frozenset("b"), frozenset("b"), absent={"a": ABSENT_SECONDS})
+>>> moving = next_assignment(agreed, one_lost)
 >>> moving.holders.entries
 ('b',)
 >>> settled(moving).holder("usage")
@@ -33,7 +33,7 @@
 """Subjects for which one holding entry is wanted: each confirms its right once for all
 that it does at the same moment, and takes its subjects with it when it is lost."""
 
-LEAST_HOLDERS = 2
+MIN_HOLDERS = 2
 """Holding entries where any are wanted, so that the loss of one leaves half of the
 subjects with a holder."""
 
@@ -45,7 +45,7 @@
 """The same for a machine that a subject is pinned to: a term of its registration and a
 few tries."""
 
-JOIN_SECONDS = 1.0
+COALESCE_SECONDS = 1.0
 """How long a change gathers that machines cause which start: many start together."""
 
 TERM_SECONDS = 1.0
@@ -158,7 +158,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Present:
+class MembershipView:
     """What an entry sees of the processes that may act.
 
     Attributes
@@ -182,18 +182,18 @@
     absent: Mapping[str, float] = field(default_factory=dict)
 
 
-def next_holders(current: Holders, present: Present) -> Holders:
+def next_holders(current: Holders, view: MembershipView) -> Holders:
     """Return who should act, with as little change as can be."""
-    pinned = _next_pinned(current.pinned, present)
-    alone = len(present.subjects - pinned.keys())
-    wanted = wanted_holders(alone, len(present.staying))
+    pinned = _next_pinned(current.pinned, view)
+    alone = len(view.subjects - pinned.keys())
+    wanted = wanted_holders(alone, len(view.staying))
     kept = [
         name
         for name in current.entries
-        if present.absent.get(name, 0.0) < ABSENT_SECONDS
+        if view.absent.get(name, 0.0) < ABSENT_SECONDS
     ]
     if len(kept) < wanted:
-        free = sorted(present.staying - set(kept), key=writer_rank)
+        free = sorted(view.staying - set(kept), key=writer_rank)
         kept += free[: wanted - len(kept)]
     return Holders(tuple(sorted(kept)), pinned)
 
@@ -203,30 +203,30 @@
 
     There are always some, since a new subject may come before it is pinned.
     """
-    wanted = max(LEAST_HOLDERS, -(-subjects // SUBJECTS_PER_HOLDER))
+    wanted = max(MIN_HOLDERS, -(-subjects // SUBJECTS_PER_HOLDER))
     return min(wanted, entries)
 
 
-def _next_pinned(current: Mapping[str, str], present: Present) -> dict[str, str]:
+def _next_pinned(current: Mapping[str, str], view: MembershipView) -> dict[str, str]:
     kept = {
         subject: name
         for subject, name in current.items()
-        if present.absent.get(name, 0.0) < PINNED_ABSENT_SECONDS
+        if view.absent.get(name, 0.0) < PINNED_ABSENT_SECONDS
     }
-    return kept | dict(present.pinned)
+    return kept | dict(view.pinned)
 
 
-def change_of(current: Assignment | None, present: Present) -> Assignment | None:
+def next_assignment(current: Assignment | None, view: MembershipView) -> Assignment | None:
     """Return the row that should follow, or ``None`` if nothing is to change.
 
     A change that is not settled is settled first.
     """
     if current is None:
-        first = next_holders(Holders(), present)
+        first = next_holders(Holders(), view)
         return Assignment(first) if first.entries else None
     if current.before is not None:
         return None
-    after = next_holders(current.holders, present)
+    after = next_holders(current.holders, view)
     if after == current.holders:
         return None
     return Assignment(after, before=current.holders)
@@ -237,13 +237,13 @@
     return replace(current, before=None)
 
 
-def gather_seconds(current: Assignment | None, after: Assignment) -> float:
+def coalescing_seconds(current: Assignment | None, after: Assignment) -> float:
     """Return how long a change waits for others that may come with it.
 
     A holding entry that is lost is replaced at once: it was waited for.
     """
     if current is None or after.holders.pinned != current.holders.pinned:
-        return JOIN_SECONDS
+        return COALESCE_SECONDS
     return 0.0
 
 
--- a/src/wigeonfront/coordination/true_time.py
+++ b/src/wigeonfront/coordination/clock_offset.py
@@ -12,9 +12,9 @@
 
 Examples
 --------
->>> read = [reading_of("a", 100.0, 100.0, 0.0, 5_000.0)]
->>> read += [reading_of("b", 100.0, 100.002, 0.0, 5_000.001)]
->>> read += [reading_of("c", 100.0, 100.0, 0.0, 5_002.0)]
+>>> read = [reading_from_call("a", 100.0, 100.0, 0.0, 5_000.0)]
+>>> read += [reading_from_call("b", 100.0, 100.002, 0.0, 5_000.001)]
+>>> read += [reading_from_call("c", 100.0, 100.0, 0.0, 5_002.0)]
 >>> round(agreed_offset(read), 6)
 4900.0
 >>> agreed_offset([]) is None
@@ -45,7 +45,7 @@
     error: float
 
 
-def reading_of(
+def reading_from_call(
     name: str, sent: float, received: float, handling: float, unix: float
 ) -> ClockReading:
     """Return the reading that an answer gives.
--- a/src/wigeonfront/coordination/feed.py
+++ b/src/wigeonfront/coordination/feed.py
@@ -41,14 +41,14 @@
 AVOID_SECONDS = 4.0
 """How long a source that failed is not asked again."""
 
-FOLLOWERS = 8
+FOLLOWERS_PER_ENTRY = 8
 """Entries of a failure domain that follow one entry."""
 
 RESTART_SECONDS = 1.0
 """The same for one that refused the connection: a process that starts again is back by
 then."""
 
-MOST_WAIT_SECONDS = 5.0
+MAX_WAIT_SECONDS = 5.0
 
 
 class FeedListing(msgspec.Struct, frozen=True, tag="listing"):
@@ -144,7 +144,7 @@
             state = mirror.state()
             listing = Listing(tuple(state.rows.values()), state.revision)
             return FeedListing(listing, mirror.age)
-        wait = min(asked.wait, MOST_WAIT_SECONDS)
+        wait = min(asked.wait, MAX_WAIT_SECONDS)
         return FeedChanges(mirror.changes_after(asked.after, wait), mirror.age)
 
 
@@ -173,7 +173,7 @@
         self._direct = direct
         self._sources = sources
         self._clock = clock
-        self._most_age = interval + AGE_SLACK_SECONDS
+        self._max_age = interval + AGE_SLACK_SECONDS
         self._pools = Pools(CONNECT_SECONDS)
         self._avoided: dict[str, float] = {}
         self._lock = threading.Lock()
@@ -226,7 +226,7 @@
             answer = _decode(reply.body)
             if isinstance(answer, FeedRefused):
                 reason = answer.reason
-            elif answer is not None and answer.age <= self._most_age:
+            elif answer is not None and answer.age <= self._max_age:
                 return answer
             else:
                 reason = "too old"
@@ -274,7 +274,7 @@
     )
     mine = (me.name, me.address)
     place = tree.index(mine) if mine in tree else 0
-    parent = [tree[(place - 1) // FOLLOWERS][1]] if place else []
+    parent = [tree[(place - 1) // FOLLOWERS_PER_ENTRY][1]] if place else []
     return [*parent, *others]
 
 
--- a/src/wigeonfront/coordination/membership.py
+++ b/src/wigeonfront/coordination/membership.py
@@ -28,7 +28,7 @@
 """Pause after a first call that failed; it doubles, up to the pause of a renewal, so
 that the calls of an outage do not grow with it."""
 
-MOST_DOUBLINGS = 10
+MAX_DOUBLINGS = 10
 
 IDLE_TERM_SECONDS = 20.0
 """Term of the lease of a process whose work nobody would have to take over: all that a
@@ -41,7 +41,7 @@
 LOOK_SECONDS = 0.25
 """Pause between two looks whether the process stops, or has got something to do."""
 
-LONGEST_ABSENCE_SECONDS = IDLE_TERM_SECONDS / RENEWALS_PER_LEASE + 1.0
+MAX_ABSENCE_SECONDS = IDLE_TERM_SECONDS / RENEWALS_PER_LEASE + 1.0
 """Time from the store's return in which every process that lives has registered again:
 the longest pause between two tries, and a call."""
 
@@ -131,7 +131,7 @@
     pause = term / RENEWALS_PER_LEASE
     if not failures:
         return pause
-    return min(pause, RETRY_SECONDS * 2 ** min(failures - 1, MOST_DOUBLINGS))
+    return min(pause, RETRY_SECONDS * 2 ** min(failures - 1, MAX_DOUBLINGS))
 
 
 class Registration:
@@ -289,8 +289,8 @@
 
     def _present_until(self, until: float) -> Presence:
         """Return the presence after the row was written under a new lease."""
-        was_there = self._clock.boottime() < self._presence.until
-        since = self._presence.since_revision if was_there else self._revision
+        still_registered = self._clock.boottime() < self._presence.until
+        since = self._presence.since_revision if still_registered else self._revision
         return Presence(since, until)
 
     def _write(self, lease: int) -> bool:
--- a/src/wigeonfront/coordination/mirror.py
+++ b/src/wigeonfront/coordination/mirror.py
@@ -30,10 +30,10 @@
 RETRY_SECONDS = 0.2
 """Pause after a failed call; a tenth of the time in which a change must be in force."""
 
-MOST_RETRY_SECONDS = 1.0
+MAX_RETRY_SECONDS = 1.0
 """Longest pause, to which pauses double in an outage."""
 
-LEAST_ADVANCE_SECONDS = 0.05
+MIN_ADVANCE_SECONDS = 0.05
 """Time by which the copy must have become newer for followers to be told so."""
 
 LOG_LENGTH = 500
@@ -173,7 +173,7 @@
         with self._lock:
             known_at = self._present_at
             while self._revision <= after:
-                if self._present_at > known_at + LEAST_ADVANCE_SECONDS:
+                if self._present_at > known_at + MIN_ADVANCE_SECONDS:
                     return Changes((), after)
                 remaining = deadline - self._clock.monotonic()
                 if remaining <= 0:
@@ -193,7 +193,7 @@
                 stop.wait(self._pause)
             else:
                 stop.wait(pause)
-                pause = min(2 * pause, MOST_RETRY_SECONDS)
+                pause = min(2 * pause, MAX_RETRY_SECONDS)
 
     def _list(self) -> bool:
         listing = self._source.list(self._prefix)
--- a/src/wigeonfront/coordination/relay.py
+++ b/src/wigeonfront/coordination/relay.py
@@ -47,11 +47,11 @@
 RELAY_CALL_SECONDS = 1.3
 """Longest wait for a relayed call: what the other process waits, and the way."""
 
-MOST_RELAYS = 2
+MAX_RELAYS = 2
 """Processes asked for one call; a third fails for the same reason in most cases."""
 
 OK = 200
-MOST_BODY = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 
 _OUTCOMES: dict[str, type] = {
     kind.__name__: kind
@@ -194,7 +194,7 @@
     def answer(self, call: RawCall) -> None:
         """Answer one call over HTTP."""
         try:
-            asked = msgspec.json.decode(call.body(MOST_BODY), type=StoreCall)
+            asked = msgspec.json.decode(call.body(MAX_BODY_BYTES), type=StoreCall)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             event(logger, "bad_relay_call", reason=str(error)[:200])
             call.reply(400)
@@ -332,7 +332,7 @@
         body = msgspec.json.encode(call)
         outcome: Any = None
         in_doubt = False
-        for address in addresses[:MOST_RELAYS]:
+        for address in addresses[:MAX_RELAYS]:
             seconds = RELAY_CALL_SECONDS + wait
             answer = self._pools.post(address, RELAY_PATH, body, seconds)
             if not isinstance(answer, Answer) or answer.status != OK:
--- a/src/wigeonfront/coordination/rights.py
+++ b/src/wigeonfront/coordination/rights.py
@@ -20,11 +20,11 @@
 from wigeonfront.clock import Clock
 from wigeonfront.coordination.assignment import (
     Assignment,
-    Present,
-    change_of,
+    MembershipView,
+    next_assignment,
     decode_assignment,
     encode_assignment,
-    gather_seconds,
+    coalescing_seconds,
     settled,
     writer_pause,
 )
@@ -77,7 +77,7 @@
         self._asked_at = -1e9
         self._confirmed_at = -1e9
 
-    def take(self, assignment: Assignment) -> None:
+    def update_assignment(self, assignment: Assignment) -> None:
         """Take a row that was heard of; it confirms nothing."""
         with self._lock:
             known = self._assignment
@@ -124,7 +124,7 @@
         if read is None:
             event(logger, "bad_assignment", revision=row.revision)
             return
-        self.take(read)
+        self.update_assignment(read)
         with self._lock:
             self._confirmed_at = self._asked_at
 
@@ -150,7 +150,7 @@
         self,
         store: RowStore,
         name: str,
-        present: Callable[[], Present | None],
+        present: Callable[[], MembershipView | None],
         apart_seconds: float,
         clock: Clock,
         on_change: Callable[[Assignment], None],
@@ -166,7 +166,7 @@
         self._seen_at = clock.boottime()
         self._due_since: float | None = None
 
-    def take(self, assignment: Assignment) -> None:
+    def update_assignment(self, assignment: Assignment) -> None:
         """Take the row that the mirror shows."""
         current = self._current
         if current is None or assignment.revision > current.revision:
@@ -177,9 +177,9 @@
     def run(self, stop: threading.Event) -> None:
         """Write what is due (a supervisor's task)."""
         while not stop.wait(LOOK_SECONDS):
-            self.look()
+            self.write_if_due()
 
-    def look(self) -> None:
+    def write_if_due(self) -> None:
         """Write the next row if it is due and this entry's turn."""
         present = self._present()
         if present is None:
@@ -192,15 +192,15 @@
         now = self._clock.boottime()
         if self._due_since is None:
             self._due_since = now
-        pause = gather_seconds(self._current, after)
+        pause = coalescing_seconds(self._current, after)
         pause += writer_pause(self._name, present.staying)
         if now - self._due_since >= pause:
             self._write(after)
 
-    def _next(self, present: Present) -> Assignment | None:
+    def _next(self, present: MembershipView) -> Assignment | None:
         current = self._current
         if current is None or current.before is None:
-            return change_of(current, present)
+            return next_assignment(current, present)
         waited = self._clock.boottime() - self._seen_at
         if waited < current.settle_seconds(self._apart_seconds):
             return None
@@ -222,5 +222,5 @@
         self._due_since = None
         if isinstance(outcome, Stored):
             written = Assignment(after.holders, after.before, outcome.revision)
-            self.take(written)
+            self.update_assignment(written)
             self._on_change(written)
--- a/src/wigeonfront/node/assigning.py
+++ b/src/wigeonfront/node/assigning.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from wigeonfront.clock import Clock
-from wigeonfront.coordination.assignment import Assignment, Present, decode_assignment
+from wigeonfront.coordination.assignment import Assignment, MembershipView, decode_assignment
 from wigeonfront.coordination.membership import (
     ENTRY_PREFIX,
     SIDE_PREFIX,
@@ -44,7 +44,7 @@
         self._clock = clock
         self._missing_since: dict[str, float] = {}
 
-    def look(self, assignment: Assignment | None) -> Present | None:
+    def look(self, assignment: Assignment | None) -> MembershipView | None:
         """Return what is seen now; ``None`` while it may be out of date."""
         now = self._clock.monotonic()
         mirror = self._mirror
@@ -54,7 +54,7 @@
         sides = self._members(SIDE_PREFIX)
         registered = {member.name for member in (*entries, *sides)}
         self._note_missing(assignment, registered, now)
-        return Present(
+        return MembershipView(
             entries=frozenset(member.name for member in entries),
             staying=frozenset(one.name for one in entries if not one.leaving),
             pinned={member.address: member.name for member in sides},
@@ -173,5 +173,5 @@
         known = self._current
         if known is None or assignment.revision > known.revision:
             self._current = assignment
-            self._keeper.take(assignment)
+            self._keeper.update_assignment(assignment)
             self._on_change(assignment)
--- a/src/wigeonfront/node/duties.py
+++ b/src/wigeonfront/node/duties.py
@@ -89,7 +89,7 @@
 
     def take(self, assignment: Assignment) -> None:
         """Take a newer row of who acts for what."""
-        self._rights.take(assignment)
+        self._rights.update_assignment(assignment)
 
     def start(self, supervisor: Supervisor) -> None:
         """Start its tasks."""
--- a/src/wigeonfront/node/entry.py
+++ b/src/wigeonfront/node/entry.py
@@ -441,7 +441,7 @@
                 self._table.expect_load(target.id, named.model, named.version)
 
     def _on_assignment(self, assignment: Assignment) -> None:
-        self._fleet.take(assignment)
+        self._fleet.update_assignment(assignment)
         for duty in self._duties:
             duty.take(assignment)
 
--- a/src/wigeonfront/node/side.py
+++ b/src/wigeonfront/node/side.py
@@ -82,7 +82,7 @@
             prefix=SIDE_PREFIX,
         )
         self._rights = Rights(
-            store, settings.name, PINNED_TERM_SECONDS, clock, told=False
+            store, settings.name, PINNED_TERM_SECONDS, clock, receives_updates=False
         )
         self._mover = WeightMover(
             settings.target_address,
--- a/src/wigeonfront/rollout/pending.py
+++ b/src/wigeonfront/rollout/pending.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from wigeonfront.clock import Clock
-from wigeonfront.coordination.membership import LONGEST_ABSENCE_SECONDS
+from wigeonfront.coordination.membership import MAX_ABSENCE_SECONDS
 from wigeonfront.observability.logs import event
 from wigeonfront.rollout.submissions import KEY_PREFIX
 from wigeonfront.spool import SpoolClient, Unreached
@@ -112,6 +112,6 @@
     """
     if seen.followed_for is None:
         return "store not followed"
-    if seen.absent and seen.followed_for < LONGEST_ABSENCE_SECONDS:
+    if seen.absent and seen.followed_for < MAX_ABSENCE_SECONDS:
         return f"disk of {seen.absent[0]} not back"
     return ""
--- a/src/wigeonfront/weights/fleet.py
+++ b/src/wigeonfront/weights/fleet.py
@@ -11,7 +11,7 @@
 from wigeonfront.observability.metrics import Registry
 from wigeonfront.supervisor import Supervisor
 from wigeonfront.targets.target import Target
-from wigeonfront.weights.distant import DistantEngine
+from wigeonfront.weights.remote import RemoteEngine
 from wigeonfront.weights.mover import Engine, WeightMover, order_counter
 from wigeonfront.weights.plan import (
     NamedVersion,
@@ -125,9 +125,9 @@
         self._known: dict[str, Target] = {}
         self._movers: dict[str, WeightMover] = {}
 
-    def take(self, assignment: Assignment) -> None:
+    def update_assignment(self, assignment: Assignment) -> None:
         """Take a newer row of holders."""
-        self._rights.take(assignment)
+        self._rights.update_assignment(assignment)
         if assignment.holders != self._holders:
             self._holders = assignment.holders
             self._mine = {}
@@ -165,7 +165,7 @@
     def _start(self, target: Target) -> None:
         mover = WeightMover(
             target.id,
-            DistantEngine(
+            RemoteEngine(
                 self._connect(target), lambda: self._known.get(target.id), self._clock
             ),
             self._versions,
--- a/src/wigeonfront/weights/plan.py
+++ b/src/wigeonfront/weights/plan.py
@@ -12,14 +12,14 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-AGREED_LAG = 1
+ALLOWED_LAG = 1
 """Versions that an engine may be behind the newest and still serve the next step."""
 
 SPREAD_SECONDS = 0.9
 """Time between the loads of two engines of the same half, which is what a load takes:
 a service has few free places for loads, and more at once slow each other down."""
 
-MOST_SPREAD_SECONDS = 2.0
+MAX_SPREAD_SECONDS = 2.0
 """Longest time by which a load is put off for others: half of the time of a step."""
 
 LOAD_SHARE = 0.4
@@ -141,7 +141,7 @@
         """Seconds after a naming at which an engine at this place loads."""
         at_once = max(1, int(LOAD_SHARE * self.count))
         turn = self.rank // 2 // at_once
-        return min(turn * SPREAD_SECONDS, MOST_SPREAD_SECONDS)
+        return min(turn * SPREAD_SECONDS, MAX_SPREAD_SECONDS)
 
 
 def engine_places(
@@ -194,13 +194,13 @@
     """
     if report.loading or report.draining:
         return None
-    for one in _behind(report, named, place):
-        if _lag(report, one) > AGREED_LAG + 1:
-            return MoveOrder(one.model, one.version, "far too old", keep_runs)
-    for one in _behind(report, named, place):
-        if _wanted(report, one, place) and now >= one.named_at + place.load_delay:
-            reason = f"{_lag(report, one)} behind"
-            return MoveOrder(one.model, one.version, reason, keep_runs)
+    for newer in _behind(report, named, place):
+        if _lag(report, newer) > ALLOWED_LAG + 1:
+            return MoveOrder(newer.model, newer.version, "far too old", keep_runs)
+    for newer in _behind(report, named, place):
+        if _wanted(report, newer, place) and now >= newer.named_at + place.load_delay:
+            reason = f"{_lag(report, newer)} behind"
+            return MoveOrder(newer.model, newer.version, reason, keep_runs)
     return None
 
 
@@ -214,9 +214,9 @@
     if report.draining:
         return math.inf
     due = [
-        one.named_at + place.load_delay
-        for one in _behind(report, named, place)
-        if _wanted(report, one, place)
+        newer.named_at + place.load_delay
+        for newer in _behind(report, named, place)
+        if _wanted(report, newer, place)
     ]
     return min(due, default=math.inf)
 
@@ -225,7 +225,7 @@
     report: EngineReport, named: list[NamedVersion], place: Place
 ) -> list[NamedVersion]:
     """Return the versions that an engine lacks, of the models that it follows."""
-    return [one for one in named if _lag(report, one) > 0 and place.serves(one.model)]
+    return [newer for newer in named if _lag(report, newer) > 0 and place.serves(newer.model)]
 
 
 def _lag(report: EngineReport, named: NamedVersion) -> int:
@@ -234,4 +234,4 @@
 
 def _wanted(report: EngineReport, named: NamedVersion, place: Place) -> bool:
     """Tell whether an engine is to load a version, at once or in its turn."""
-    return _lag(report, named) > AGREED_LAG or place.follows(named.version)
+    return _lag(report, named) > ALLOWED_LAG or place.follows(named.version)
--- a/src/wigeonfront/weights/distant.py
+++ b/src/wigeonfront/weights/remote.py
@@ -30,7 +30,7 @@
     until: float
 
 
-class DistantEngine:
+class RemoteEngine:
     """The engine that is registered as a target.
 
     Parameters
--- a/tests/test_assignment.py
+++ b/tests/test_assignment.py
@@ -7,19 +7,19 @@
 from wigeonfront.coordination.assignment import (
     ABSENT_SECONDS,
     FLIGHT_SECONDS,
-    JOIN_SECONDS,
-    LEAST_HOLDERS,
+    COALESCE_SECONDS,
+    MIN_HOLDERS,
     PINNED_ABSENT_SECONDS,
     PINNED_TERM_SECONDS,
     TERM_SECONDS,
     WRITER_PAUSE_SECONDS,
     Assignment,
     Holders,
-    Present,
-    change_of,
+    MembershipView,
+    next_assignment,
     decode_assignment,
     encode_assignment,
-    gather_seconds,
+    coalescing_seconds,
     next_holders,
     settled,
     wanted_holders,
@@ -42,7 +42,7 @@
 
 
 def seen(entries, engines=(), pinned=(), **absent):
-    return Present(
+    return MembershipView(
         frozenset(entries),
         frozenset(entries),
         dict(pinned),
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(
     ("engines", "entries", "holders"),
     [
-        (0, 58, LEAST_HOLDERS),
+        (0, 58, MIN_HOLDERS),
         (25, 58, 7),
         (200, 58, 50),
         (250, 58, 58),
@@ -92,7 +92,7 @@
     holders = Holders(ENTRIES[:2], {engines[0]: "side-0"})
     here = [name for name in ENTRIES[:4] if name not in absent]
     present = seen(here, engines, **absent)
-    change = change_of(Assignment(holders, revision=7), present)
+    change = next_assignment(Assignment(holders, revision=7), present)
     assert (change is None) == stays
     if change:
         assert change.before == holders
@@ -118,8 +118,8 @@
         assert settled(moving).holder(engine) == after.holder(engine)
     # Though a holder is lost meanwhile: two changes at once would hide the first.
     lost = seen(ENTRIES[:3], engines, **{ENTRIES[3]: 1000.0})
-    assert change_of(moving, lost) is None
-    assert change_of(settled(moving), lost).holders.entries == ENTRIES[:3]
+    assert next_assignment(moving, lost) is None
+    assert next_assignment(settled(moving), lost).holders.entries == ENTRIES[:3]
 
 
 @pytest.mark.parametrize(
@@ -141,9 +141,9 @@
 
 
 def test_the_first_row_has_nobody_before_it():
-    first = change_of(None, seen(ENTRIES[:3], addresses(5)))
+    first = next_assignment(None, seen(ENTRIES[:3], addresses(5)))
     assert first.before is None and len(first.holders.entries) == 2
-    assert change_of(None, seen((), addresses(5))) is None
+    assert next_assignment(None, seen((), addresses(5))) is None
 
 
 @pytest.mark.parametrize(
@@ -170,14 +170,14 @@
 @pytest.mark.parametrize(
     ("current", "after", "seconds"),
     [
-        (None, Holders(("a",)), JOIN_SECONDS),
-        (Holders(("a",)), Holders(("a",), {"x:1": "s"}), JOIN_SECONDS),
+        (None, Holders(("a",)), COALESCE_SECONDS),
+        (Holders(("a",)), Holders(("a",), {"x:1": "s"}), COALESCE_SECONDS),
         (Holders(("a", "b")), Holders(("a", "c")), 0.0),
     ],
 )
 def test_only_machines_that_start_are_gathered(current, after, seconds):
     known = current and Assignment(current)
-    assert gather_seconds(known, Assignment(after, current)) == seconds
+    assert coalescing_seconds(known, Assignment(after, current)) == seconds
 
 
 @pytest.mark.parametrize("count", [250, 2_500])
--- a/tests/test_assignment_machine.py
+++ b/tests/test_assignment_machine.py
@@ -20,7 +20,7 @@
     PINNED_ABSENT_SECONDS,
     PINNED_TERM_SECONDS,
     TERM_SECONDS,
-    Present,
+    MembershipView,
     decode_assignment,
     writer_pause,
 )
@@ -79,20 +79,20 @@
         self.present = None
         is_side = name in SIDES.values()
         term = PINNED_TERM_SECONDS if is_side else TERM_SECONDS
-        self.rights = Rights(self.store, name, term, clock, told=not is_side)
+        self.rights = Rights(self.store, name, term, clock, receives_updates=not is_side)
         self.keeper = AssignmentKeeper(
             self.store,
             name,
             lambda: self.present,
             ORDER_SECONDS,
             clock,
-            self.rights.take,
+            self.rights.update_assignment,
         )
 
     def hear(self, row):
         heard = decode_assignment(row.value, row.revision)
-        self.keeper.take(heard)
-        self.rights.take(heard)
+        self.keeper.update_assignment(heard)
+        self.rights.update_assignment(heard)
 
 
 class AssignmentWalk(RuleBasedStateMachine):
@@ -152,7 +152,7 @@
         registered = {SIDES[address]: address for address in pinned}
         gone = set(MACHINES) - set(entries) - registered.keys()
         long = max(ABSENT_SECONDS, PINNED_ABSENT_SECONDS)
-        machine.present = Present(
+        machine.present = MembershipView(
             entries=frozenset(entries),
             staying=frozenset(entries),
             pinned={address: side for side, address in registered.items()},
@@ -164,10 +164,10 @@
     def entry_looks_after_the_row(self, name):
         """It finds a change due, and nobody else writes it for a while."""
         machine = self.machines[name]
-        machine.keeper.look()
+        machine.keeper.write_if_due()
         if machine.present is not None:
             self.clock.advance(2.0 + writer_pause(name, machine.present.staying))
-            machine.keeper.look()
+            machine.keeper.write_if_due()
         self.note_row()
 
     @rule(name=st.sampled_from(ENTRIES), data=st.data())
@@ -204,7 +204,7 @@
 
     def teardown(self):
         """Once all live and hear each other, each engine has one holder."""
-        present = Present(
+        present = MembershipView(
             entries=frozenset(ENTRIES),
             staying=frozenset(ENTRIES),
             pinned=SIDES,
@@ -220,7 +220,7 @@
         for _ in range(200):
             self.clock.advance(0.5)
             for name in ENTRIES:
-                self.machines[name].keeper.look()
+                self.machines[name].keeper.write_if_due()
             row = self.rows.get(ASSIGNMENT_KEY)
             for name in ENTRIES:
                 if isinstance(row, Row):
@@ -256,7 +256,7 @@
     walk = AssignmentWalk()
     writer = walk.machines["e1"]
     everyone = frozenset(ENTRIES)
-    writer.present = Present(everyone, everyone, SIDES, frozenset(ENGINES))
+    writer.present = MembershipView(everyone, everyone, SIDES, frozenset(ENGINES))
     walk.entry_looks_after_the_row("e1")
     row = walk.history[-1]
     holder = decode_assignment(row.value, row.revision).holder(engine)
@@ -270,16 +270,16 @@
     absent = {lost: PINNED_ABSENT_SECONDS}
     survivor = min(left)
     walk.machines[survivor].hear(row)
-    present = Present(left, left, sides, frozenset(ENGINES), absent)
+    present = MembershipView(left, left, sides, frozenset(ENGINES), absent)
     walk.machines[survivor].present = present
-    walk.machines[survivor].keeper.look()
+    walk.machines[survivor].keeper.write_if_due()
     walk.clock.advance(1.0 + writer_pause(survivor, left))
     walk.machine_orders(lost, engine, 0.0, 0.0, 0.0)
-    walk.machines[survivor].keeper.look()
+    walk.machines[survivor].keeper.write_if_due()
     found = False
     for _ in range(30):
         walk.clock.advance(0.2)
-        walk.machines[survivor].keeper.look()
+        walk.machines[survivor].keeper.write_if_due()
         walk.note_row()
         for entry in left:
             walk.machines[entry].hear(walk.history[-1])
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -8,7 +8,7 @@
 from rows_fakes import free_address, make_store, wait_for
 from wigeonfront.clock import SystemClock
 from wigeonfront.coordination.feed import (
-    FOLLOWERS,
+    FOLLOWERS_PER_ENTRY,
     DirectRows,
     FeedServer,
     FollowedRows,
@@ -245,7 +245,7 @@
     members = [entry(f"n{number:04}", f"z{number % 5}") for number in range(3, count)]
     seeds = ("n0000:1", "n0001:1", "n0002:1")
     parents = Counter(feed_sources(one, members, seeds)[0] for one in members)
-    assert max(parents.values()) <= FOLLOWERS
+    assert max(parents.values()) <= FOLLOWERS_PER_ENTRY
     for one in members:
         steps, at = 0, one.address
         while at not in seeds:
--- a/tests/test_pending.py
+++ b/tests/test_pending.py
@@ -3,7 +3,7 @@
 import pytest
 
 from wigeonfront.clock import ManualClock
-from wigeonfront.coordination.membership import LONGEST_ABSENCE_SECONDS
+from wigeonfront.coordination.membership import MAX_ABSENCE_SECONDS
 from wigeonfront.rollout.pending import (
     LISTING_SECONDS,
     DisksSeen,
@@ -13,7 +13,7 @@
 from wigeonfront.rollout.submissions import KEY_PREFIX
 from wigeonfront.spool import Unreached
 
-BACK = LONGEST_ABSENCE_SECONDS
+BACK = MAX_ABSENCE_SECONDS
 
 
 class ScriptedSpool:
--- a/tests/test_distant_engine.py
+++ b/tests/test_remote_engine.py
@@ -5,7 +5,7 @@
 from wigeonfront.clock import ManualClock
 from wigeonfront.coordination.rows import Unavailable
 from wigeonfront.targets.target import Target
-from wigeonfront.weights.distant import ASSUMED_SECONDS, DistantEngine
+from wigeonfront.weights.remote import ASSUMED_SECONDS, RemoteEngine
 from wigeonfront.weights.plan import EngineReport, MoveOrder
 
 MODEL = "m"
@@ -38,13 +38,13 @@
 
 
 class Distant:
-    """A `DistantEngine` with its registration and its clock."""
+    """A `RemoteEngine` with its registration and its clock."""
 
     def __init__(self):
         self.clock = ManualClock(100.0)
         self.called = Called()
         self.register(4)
-        self.engine = DistantEngine(self.called, lambda: self.target, self.clock)
+        self.engine = RemoteEngine(self.called, lambda: self.target, self.clock)
 
     def register(self, version, draining=False):
         self.target = Target(
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -18,7 +18,7 @@
 from wigeonfront.coordination.assignment import (
     FLIGHT_SECONDS,
     TERM_SECONDS,
-    Present,
+    MembershipView,
     decode_assignment,
 )
 from wigeonfront.coordination.membership import Member
@@ -99,7 +99,7 @@
             lambda: self.present,
             APART_SECONDS,
             self.clock,
-            self.rights.take,
+            self.rights.update_assignment,
         )
         self.reporter = UsageReporter(
             name,
@@ -119,8 +119,8 @@
 
     def hear(self, row):
         heard = decode_assignment(row.value, row.revision)
-        self.keeper.take(heard)
-        self.rights.take(heard)
+        self.keeper.update_assignment(heard)
+        self.rights.update_assignment(heard)
         if self.assignment is None or heard.revision > self.assignment.revision:
             self.assignment = heard
 
@@ -167,7 +167,7 @@
         self.truth = {}
         seen = frozenset(NAMES)
         for machine in self.machines.values():
-            machine.present = Present(seen, seen)
+            machine.present = MembershipView(seen, seen)
         for _ in range(4):
             self.clock.advance(1.0)
             self.everyone_goes_on()
@@ -175,7 +175,7 @@
     @rule()
     def everyone_goes_on(self):
         for machine in self.machines.values():
-            machine.keeper.look()
+            machine.keeper.write_if_due()
         for name in NAMES:
             self.machine_hears(name)
         for machine in self.machines.values():
@@ -238,11 +238,11 @@
         """Whoever it does not see it takes to be gone for long."""
         absent = dict.fromkeys(set(NAMES) - entries, 1000.0)
         seen = frozenset(entries)
-        self.machines[name].present = Present(seen, seen, absent=absent)
+        self.machines[name].present = MembershipView(seen, seen, absent=absent)
 
     @rule(name=st.sampled_from(NAMES))
     def entry_looks_after_the_row(self, name):
-        self.machines[name].keeper.look()
+        self.machines[name].keeper.write_if_due()
 
     @rule(name=st.sampled_from(NAMES))
     def machine_hears(self, name):
@@ -271,7 +271,7 @@
             machine.store.deliver()
             machine.store.cut = machine.store.lose = False
             machine.store.before = machine.store.after = 0.0
-            machine.present = Present(seen, seen)
+            machine.present = MembershipView(seen, seen)
         self.platform.lost = self.platform.down = False
         self.platform.way = 0.0
         for _ in range(120):
@@ -309,11 +309,11 @@
     others = frozenset(NAMES) - {first.name}
     for name in others:
         machine = walk.machines[name]
-        machine.present = Present(others, others, absent={first.name: 1_000.0})
+        machine.present = MembershipView(others, others, absent={first.name: 1_000.0})
     for _ in range(60):
         walk.clock.advance(0.25)
         for name in others:
-            walk.machines[name].keeper.look()
+            walk.machines[name].keeper.write_if_due()
             walk.machine_hears(name)
             walk.machines[name].act()
         first.act()
