--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -110,7 +110,7 @@
     Mechanism(
         "tree of feeds",
         "coordination/feed.py",
-        (("    return [*parent, *others]", "    return others"),),
+        (("    return [*parent, *rotated_seeds]", "    return rotated_seeds"),),
     ),
     Mechanism(
         "relay",
--- a/src/wigeonfront/coordination/__init__.py
+++ b/src/wigeonfront/coordination/__init__.py
@@ -1,7 +1,10 @@
-"""What the processes of a deployment share; others can embed these parts.
+"""Coordination of the processes of a deployment; other programs can embed the parts.
 
-It starts no tasks by itself. `rows` is what a store of rows answers; `mirror` copies
-the rows below a prefix, `feed` hands a copy on to other processes, `relay` makes store
-calls for them, and `meter` counts calls. `membership` keeps a process registered under
-a lease; `rendezvous` and `ring` work out alike everywhere who has what.
+The package starts no tasks by itself. `rows` defines the interface of a store of rows
+and the outcomes of its calls. `mirror` keeps a replica of the rows below a prefix,
+`feed` serves a mirror to other processes, `relay` makes store calls for them, and
+`meter` counts store calls. `membership` keeps a process registered under a lease.
+`assignment` and `rights` agree on the machine that may act for each subject.
+`rendezvous` and `ring` map keys to names in the same way in every process, and
+`clock_offset` estimates the time of day from the clocks of several machines.
 """
--- a/src/wigeonfront/coordination/assignment.py
+++ b/src/wigeonfront/coordination/assignment.py
@@ -1,18 +1,21 @@
-"""Which machine may act for which subject: the agreed row, and when it changes.
+"""The assignment of subjects to machines, and the rules by which it changes.
 
-Pure functions and data; `wigeonfront.coordination.rights` reads and writes the row. A
-subject, such as an engine that gets orders or a duty at the platform, has one holder at
-a time: the machine that it is pinned to, else one of the holding entries. A change that
-takes a subject from one machine to another is written with what was there before, and
-settled only once no act of the earlier holder can still arrive.
+This module has pure functions and data only; `wigeonfront.coordination.rights` reads
+and writes the row that holds the assignment. A subject is something that one machine
+at a time may act for, such as an engine that receives orders or a duty towards the
+platform. Its holder is the machine that it is pinned to, or else one of the holding
+entries. A change that moves a subject from one machine to another is written together
+with the previous holders, and it is settled only after the last time at which an act
+of the previous holder can arrive.
 
 Examples
 --------
->>> all_here = MembershipView(frozenset("ab"), frozenset("ab"))
->>> agreed = next_assignment(None, all_here)
+>>> both = MembershipView(frozenset("ab"), frozenset("ab"))
+>>> agreed = next_assignment(None, both)
 >>> agreed.holder("usage") in {"a", "b"}
 True
->>> one_lost = MembershipView(frozenset("b"), frozenset("b"), absent={"a": ABSENT_SECONDS})
+>>> only_b = frozenset("b")
+>>> one_lost = MembershipView(only_b, only_b, absent={"a": ABSENT_SECONDS})
 >>> moving = next_assignment(agreed, one_lost)
 >>> moving.holders.entries
 ('b',)
@@ -30,48 +33,54 @@
 from wigeonfront.coordination.ring import HashRing
 
 SUBJECTS_PER_HOLDER = 4
-"""Subjects for which one holding entry is wanted: each confirms its right once for all
-that it does at the same moment, and takes its subjects with it when it is lost."""
+"""Number of subjects that are not pinned for each holding entry. A holder confirms its
+right once for all that it does at the same moment, so few holders cost few reads; but
+all subjects of a holder are without one when it is lost."""
 
 MIN_HOLDERS = 2
-"""Holding entries where any are wanted, so that the loss of one leaves half of the
-subjects with a holder."""
+"""Lowest number of holding entries while there are that many entries, so that half of
+the subjects keep their holder when one is lost."""
 
 ABSENT_SECONDS = 4.0
-"""How long a holding entry must be missing before its subjects go to others: a process
-that was killed is back sooner."""
+"""Time for which a holding entry must be missing before its subjects move to other
+entries. A process that was killed restarts sooner than that."""
 
 PINNED_ABSENT_SECONDS = 25.0
-"""The same for a machine that a subject is pinned to: a term of its registration and a
-few tries."""
+"""Time for which a machine that a subject is pinned to must be missing before the
+subject moves: one term of the machine's registration and a few retries."""
 
 COALESCE_SECONDS = 1.0
-"""How long a change gathers that machines cause which start: many start together."""
+"""Delay of a change of pinned subjects, or of the first assignment, in which further
+such changes are coalesced: many machines start at the same time."""
 
 TERM_SECONDS = 1.0
-"""How long a confirmed right holds for an entry: what it does at one moment."""
+"""Time for which a confirmed right is valid for an entry, which confirms it once for
+all acts of the same moment."""
 
 PINNED_TERM_SECONDS = 20.0
-"""The same for a machine that a subject is pinned to: it acts each few seconds."""
+"""Time for which a confirmed right is valid for a machine that a subject is pinned to,
+which acts every few seconds."""
 
 FLIGHT_SECONDS = 1.0
-"""Longest time from the check of a right until the act has arrived or was reset."""
+"""Longest time from the check of a right until the act has arrived or its connection
+was reset."""
 
 WRITER_PAUSE_SECONDS = 0.5
-"""Pause until the next entry in the writers' order writes a change that is due: many
-times what a write takes. Two that write at once cost a call, and nothing else."""
+"""Time that each entry leaves to the one before it in the writers' order to write a
+change that is due. It is many times the duration of a write. Two entries that write at
+the same time cost one extra store call and nothing else."""
 
 
 @dataclass(frozen=True)
 class Holders:
-    """Who acts for which subject.
+    """The machines that act for subjects.
 
     Attributes
     ----------
     entries : tuple of str
-        Machines that act for the subjects which are not pinned.
+        Names of the machines among which the subjects that are not pinned are divided.
     pinned : mapping of str to str
-        Machine that a subject is pinned to, by the subject.
+        Name of the machine that a subject is pinned to, by subject.
     """
 
     entries: tuple[str, ...] = ()
@@ -82,21 +91,22 @@
         return HashRing(self.entries)
 
     def holder(self, subject: str) -> str | None:
-        """Return the machine that acts for a subject."""
+        """Return the name of the machine that acts for a subject, or ``None``."""
         return self.pinned.get(subject) or self._ring.owner(subject)
 
 
 @dataclass(frozen=True)
 class Assignment:
-    """The agreed row.
+    """The agreed assignment, as one row of the store holds it.
 
     Attributes
     ----------
     holders : Holders
     before : Holders or None
-        What was agreed before a change that is not settled.
+        Holders before a change that is not settled yet.
     revision : int
-        Of the row, and the fencing token of what is done under it.
+        Revision of the row, which is also the fencing token of all acts under this
+        assignment.
     """
 
     holders: Holders
@@ -104,27 +114,39 @@
     revision: int = 0
 
     def holder(self, subject: str) -> str | None:
-        """Return the machine that may act for a subject; ``None`` while it moves."""
+        """Return the name of the machine that may act for a subject.
+
+        ``None`` while the subject moves from one machine to another.
+        """
         now = self.holders.holder(subject)
         if self.before is not None and self.before.holder(subject) != now:
             return None
         return now
 
-    def settle_seconds(self, apart_seconds: float) -> float:
-        """Return how long after the change no act of an earlier holder can arrive.
+    def settle_seconds(self, separation_seconds: float) -> float:
+        """Return the time that a change waits until it is settled.
+
+        The wait covers the term of a right that the previous holder confirmed just
+        before the change, the time for which an act may be in flight, and
+        `separation_seconds`.
 
         Parameters
         ----------
-        apart_seconds : float
-            Time that must lie between the acts of two machines.
+        separation_seconds : float
+            Shortest time that must lie between the acts of two machines.
+
+        Returns
+        -------
+        float
+            In seconds.
         """
         before = self.before or Holders()
-        lost_pinned = any(
+        pinned_holder_lost = any(
             self.holders.pinned.get(subject) != name
             for subject, name in before.pinned.items()
         )
-        term = PINNED_TERM_SECONDS if lost_pinned else TERM_SECONDS
-        return term + apart_seconds + FLIGHT_SECONDS
+        term = PINNED_TERM_SECONDS if pinned_holder_lost else TERM_SECONDS
+        return term + separation_seconds + FLIGHT_SECONDS
 
 
 class _HoldersRow(msgspec.Struct, frozen=True):
@@ -139,40 +161,40 @@
 
 
 def encode_assignment(assignment: Assignment) -> bytes:
-    """Return the value of the row."""
+    """Return the value of the row that holds an assignment."""
     holders, before = assignment.holders, assignment.before
-    earlier = _HoldersRow(before.entries, dict(before.pinned)) if before else None
+    before_row = _HoldersRow(before.entries, dict(before.pinned)) if before else None
     return msgspec.json.encode(
-        _AssignmentRow(holders.entries, dict(holders.pinned), earlier)
+        _AssignmentRow(holders.entries, dict(holders.pinned), before_row)
     )
 
 
 def decode_assignment(value: bytes, revision: int) -> Assignment | None:
-    """Return what the row says, or ``None`` where it is malformed."""
+    """Return the assignment that a row holds, or ``None`` where it is malformed."""
     try:
-        wire = msgspec.json.decode(value, type=_AssignmentRow)
+        decoded = msgspec.json.decode(value, type=_AssignmentRow)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return None
-    before = wire.before and Holders(wire.before.entries, wire.before.pinned)
-    return Assignment(Holders(wire.entries, wire.pinned), before, revision)
+    before = decoded.before and Holders(decoded.before.entries, decoded.before.pinned)
+    return Assignment(Holders(decoded.entries, decoded.pinned), before, revision)
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """What an entry sees of the processes that may act.
+    """The processes that may act and the subjects, as one entry knows them.
 
     Attributes
     ----------
     entries : frozenset of str
-        Machines whose entries are registered.
+        Names of the machines whose entries are registered.
     staying : frozenset of str
-        Those of them that are not about to leave.
+        Names of those entries that are not about to leave.
     pinned : mapping of str to str
-        Machine that a subject is to be pinned to, by the subject.
+        Name of the machine that a subject is to be pinned to, by subject.
     subjects : frozenset of str
         All subjects.
     absent : mapping of str to float
-        Seconds for which each holder that is not registered has been missing.
+        Seconds for which each holder that is not registered has been missing, by name.
     """
 
     entries: frozenset[str]
@@ -183,25 +205,33 @@
 
 
 def next_holders(current: Holders, view: MembershipView) -> Holders:
-    """Return who should act, with as little change as can be."""
+    """Return the holders that should follow, with as few changes as possible."""
     pinned = _next_pinned(current.pinned, view)
-    alone = len(view.subjects - pinned.keys())
-    wanted = wanted_holders(alone, len(view.staying))
+    unpinned = len(view.subjects - pinned.keys())
+    wanted = wanted_holders(unpinned, len(view.staying))
     kept = [
         name
         for name in current.entries
         if view.absent.get(name, 0.0) < ABSENT_SECONDS
     ]
     if len(kept) < wanted:
-        free = sorted(view.staying - set(kept), key=writer_rank)
-        kept += free[: wanted - len(kept)]
+        candidates = sorted(view.staying - set(kept), key=writer_rank)
+        kept += candidates[: wanted - len(kept)]
     return Holders(tuple(sorted(kept)), pinned)
 
 
 def wanted_holders(subjects: int, entries: int) -> int:
-    """Return the number of holding entries for so many subjects that are not pinned.
+    """Return the number of holding entries that are wanted.
 
-    There are always some, since a new subject may come before it is pinned.
+    Even without subjects there are holders, since a new subject may appear before it is
+    pinned.
+
+    Parameters
+    ----------
+    subjects : int
+        Number of subjects that are not pinned.
+    entries : int
+        Number of entries that may become holders.
     """
     wanted = max(MIN_HOLDERS, -(-subjects // SUBJECTS_PER_HOLDER))
     return min(wanted, entries)
@@ -216,10 +246,12 @@
     return kept | dict(view.pinned)
 
 
-def next_assignment(current: Assignment | None, view: MembershipView) -> Assignment | None:
-    """Return the row that should follow, or ``None`` if nothing is to change.
+def next_assignment(
+    current: Assignment | None, view: MembershipView
+) -> Assignment | None:
+    """Return the assignment that should follow, or ``None`` if nothing is to change.
 
-    A change that is not settled is settled first.
+    No change follows one that is not settled yet.
     """
     if current is None:
         first = next_holders(Holders(), view)
@@ -233,14 +265,15 @@
 
 
 def settled(current: Assignment) -> Assignment:
-    """Return the row of a change once it has settled."""
+    """Return the assignment that settles a change."""
     return replace(current, before=None)
 
 
 def coalescing_seconds(current: Assignment | None, after: Assignment) -> float:
-    """Return how long a change waits for others that may come with it.
+    """Return the delay in seconds in which further changes are coalesced with this one.
 
-    A holding entry that is lost is replaced at once: it was waited for.
+    A holding entry that is lost is replaced without a delay, as its absence was waited
+    out before.
     """
     if current is None or after.holders.pinned != current.holders.pinned:
         return COALESCE_SECONDS
@@ -248,17 +281,19 @@
 
 
 def writer_rank(name: str) -> tuple[int, str]:
-    """Return the place of an entry in the order in which entries write changes."""
+    """Return the sort key of an entry in the order in which entries write changes."""
     return crc32(name.encode()), name
 
 
-def writer_pause(me: str, staying: Collection[str]) -> float:
-    """Return how long this entry leaves a change that is due to the others, in seconds.
+def writer_pause(own_name: str, staying: Collection[str]) -> float:
+    """Return for how many seconds an entry leaves a due change to other writers.
 
     Parameters
     ----------
+    own_name : str
+        Name of the entry.
     staying : collection of str
-        Entries that live.
+        Names of the live entries that are not about to leave.
     """
-    before_me = sum(writer_rank(name) < writer_rank(me) for name in staying)
-    return before_me * WRITER_PAUSE_SECONDS
+    earlier = sum(writer_rank(name) < writer_rank(own_name) for name in staying)
+    return earlier * WRITER_PAUSE_SECONDS
--- a/src/wigeonfront/coordination/feed.py
+++ b/src/wigeonfront/coordination/feed.py
@@ -1,10 +1,9 @@
-"""Rows from another process's mirror, so that few processes watch the store.
+"""Feeds: rows read from the mirror of another process instead of the store.
 
-A watch costs a call to the store for each change and each process. With a feed, one
-process watches the store and the others wait at its mirror, or at the mirror of one
-that waits there. Each answer says how old its source's knowledge is; a source that is
-silent, or knows too little of the present, is left for another one or for the store
-itself.
+A watch costs one call to the store for each change and each process. With a feed, one
+process watches the store, and the others follow its mirror or the mirror of another
+follower. Each answer states the age of the source's copy. A follower leaves a source
+that does not answer, or whose copy is too old, for another source or for the store.
 """
 
 import logging
@@ -30,25 +29,27 @@
 JSON_HEADERS = (("Content-Type", "application/json"),)
 
 CONNECT_SECONDS = 0.25
-ANSWER_SECONDS = 0.4
-"""How much longer than it asked to a follower waits: a hundred times the way between
-failure domains, and with the wait below the bounds of what is followed."""
+ANSWER_MARGIN_SECONDS = 0.4
+"""Time that a follower waits for an answer in addition to the wait that it asked for.
+It is a hundred times the latency between failure domains, and together with the wait
+it stays below the time in which a change of the rows must be in force."""
 
 AGE_SLACK_SECONDS = 0.7
-"""How much older than the time between two calls of a source its knowledge may be
-before the source counts as cut off."""
+"""Age of a source's copy, beyond the interval between two of the source's own calls,
+above which the source counts as cut off from the store."""
 
 AVOID_SECONDS = 4.0
-"""How long a source that failed is not asked again."""
+"""Time for which a source that failed is not asked again."""
 
 FOLLOWERS_PER_ENTRY = 8
-"""Entries of a failure domain that follow one entry."""
+"""Number of entries of a failure domain that follow the same entry."""
 
-RESTART_SECONDS = 1.0
-"""The same for one that refused the connection: a process that starts again is back by
-then."""
+REFUSED_AVOID_SECONDS = 1.0
+"""Time for which a source that refused the connection is not asked again; a process
+that restarts accepts connections by then."""
 
 MAX_WAIT_SECONDS = 5.0
+"""Longest wait for a change that one answer to a follower may take."""
 
 
 class FeedListing(msgspec.Struct, frozen=True, tag="listing"):
@@ -59,29 +60,29 @@
 
 
 class FeedChanges(msgspec.Struct, frozen=True, tag="changes"):
-    """Changes behind a revision."""
+    """Changes after a revision."""
 
     changes: Changes
     age: float
 
 
 class FeedRefused(msgspec.Struct, frozen=True, tag="refused"):
-    """The mirror has nothing to tell."""
+    """The process has no mirror of the rows, or the mirror has not listed them yet."""
 
     reason: str
 
 
 class FeedCall(msgspec.Struct, frozen=True):
-    """A reading of a mirror.
+    """A request to read a mirror.
 
     Attributes
     ----------
     prefix : str
-        Of the mirror.
+        Prefix of the mirror.
     after : int
-        Revision behind which changes are asked for; -1 for all rows.
+        Revision after which changes are requested; -1 requests all rows.
     wait : float
-        Seconds to wait for a change.
+        Longest time to wait for a change, in seconds.
     """
 
     prefix: str
@@ -93,12 +94,12 @@
 
 
 class DirectRows:
-    """The store itself as a `RowSource`.
+    """The store itself as a `RowSource`, whose answers are never out of date.
 
     Parameters
     ----------
     store : RowSource
-        Anything that lists and watches.
+        Any object with the `list` and `watch` methods of a store.
     """
 
     def __init__(self, store: RowSource) -> None:
@@ -110,17 +111,17 @@
         return self._store.list(prefix)
 
     def watch(self, prefix: str, after: int, timeout: float) -> Changes | Unavailable:
-        """Wait up to `timeout` seconds for changes behind a revision."""
+        """Wait up to `timeout` seconds for changes after a revision."""
         return self._store.watch(prefix, after, timeout)
 
 
 class FeedServer:
-    """Answers followers from this process's mirrors.
+    """Answers followers from the mirrors of this process.
 
     Parameters
     ----------
     mirrors : callable
-        Returns the mirrors by their prefix.
+        Returns the mirrors by prefix.
     """
 
     def __init__(self, mirrors: Callable[[], Mapping[str, Mirror]]) -> None:
@@ -129,38 +130,38 @@
     def answer(self, call: RawCall) -> None:
         """Answer one call over HTTP."""
         try:
-            asked = msgspec.json.decode(call.body(65_536), type=FeedCall)
+            request = msgspec.json.decode(call.body(65_536), type=FeedCall)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             event(logger, "bad_feed_call", reason=str(error)[:200])
             call.reply(400)
             return
-        call.reply(OK, msgspec.json.encode(self._read(asked)), JSON_HEADERS)
+        call.reply(OK, msgspec.json.encode(self._read(request)), JSON_HEADERS)
 
-    def _read(self, asked: FeedCall) -> FeedAnswer:
-        mirror = self._mirrors().get(asked.prefix)
+    def _read(self, request: FeedCall) -> FeedAnswer:
+        mirror = self._mirrors().get(request.prefix)
         if mirror is None or not mirror.ready:
             return FeedRefused("no such mirror yet")
-        if asked.after < 0:
+        if request.after < 0:
             state = mirror.state()
             listing = Listing(tuple(state.rows.values()), state.revision)
             return FeedListing(listing, mirror.age)
-        wait = min(asked.wait, MAX_WAIT_SECONDS)
-        return FeedChanges(mirror.changes_after(asked.after, wait), mirror.age)
+        wait = min(request.wait, MAX_WAIT_SECONDS)
+        return FeedChanges(mirror.changes_after(request.after, wait), mirror.age)
 
 
 class FollowedRows:
-    """A `RowSource` that prefers other processes' mirrors to the store.
+    """A `RowSource` that prefers the mirrors of other processes to the store.
 
     Parameters
     ----------
     direct : RowSource
         The store.
     sources : callable
-        Returns the addresses of processes to follow, the best first; none for one
-        that watches the store itself.
+        Returns the addresses of the processes to follow, in the order of preference; it
+        returns none for a process that watches the store itself.
     clock : Clock
     interval : float
-        Seconds between two calls of a source to the store.
+        Time between two calls of a source to the store, in seconds.
     """
 
     def __init__(
@@ -175,53 +176,57 @@
         self._clock = clock
         self._max_age = interval + AGE_SLACK_SECONDS
         self._pools = Pools(CONNECT_SECONDS)
-        self._avoided: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
         self._lock = threading.Lock()
         self._current = ""
         self.age = 0.0
 
     def list(self, prefix: str) -> Listing | Unavailable:
         """Read all rows below `prefix`."""
-        for address in self._usable():
+        for address in self._usable_sources():
             answer = self._ask(address, FeedCall(prefix))
             if isinstance(answer, FeedListing):
-                self._follow(address, answer.age)
+                self._note_source(address, answer.age)
                 return answer.listing
-        self._follow("", 0.0)
+        self._note_source("", 0.0)
         return self._direct.list(prefix)
 
     def watch(self, prefix: str, after: int, timeout: float) -> Changes | Unavailable:
-        """Wait up to `timeout` seconds for changes behind a revision."""
+        """Wait up to `timeout` seconds for changes after a revision."""
         wait = timeout
-        for address in self._usable():
+        for address in self._usable_sources():
             answer = self._ask(address, FeedCall(prefix, after, wait))
             if isinstance(answer, FeedChanges):
-                self._follow(address, answer.age)
+                self._note_source(address, answer.age)
                 return answer.changes
-            # The time is spent: the next one is only asked what it knows now.
+            # The wait is used up, so the next source is asked without one.
             wait = 0.0
-        self._follow("", 0.0)
+        self._note_source("", 0.0)
         return self._direct.watch(prefix, after, timeout)
 
-    def _usable(self) -> Sequence[str]:
+    def _usable_sources(self) -> Sequence[str]:
         now = self._clock.monotonic()
         addresses = self._sources()
-        return [one for one in addresses if self._avoided.get(one, 0.0) <= now]
+        return [
+            address
+            for address in addresses
+            if self._avoided_until.get(address, 0.0) <= now
+        ]
 
-    def _follow(self, address: str, age: float) -> None:
+    def _note_source(self, address: str, age: float) -> None:
         self.age = age
         if address != self._current:
             event(logger, "rows_followed", source=address or "store")
             self._current = address
 
     def _ask(self, address: str, call: FeedCall) -> FeedAnswer | None:
-        """Return a source's answer; ``None`` for one that is not to be used."""
+        """Return a source's answer, or ``None`` where the source can't be used."""
         body = msgspec.json.encode(call)
-        seconds = call.wait + ANSWER_SECONDS
-        reply = self._pools.post(address, FEED_PATH, body, seconds)
+        timeout = call.wait + ANSWER_MARGIN_SECONDS
+        reply = self._pools.post(address, FEED_PATH, body, timeout)
         reason, pause = "no answer", AVOID_SECONDS
         if isinstance(reply, NotSent) and reply.refused:
-            reason, pause = "refused", RESTART_SECONDS
+            reason, pause = "refused", REFUSED_AVOID_SECONDS
         elif isinstance(reply, Answer) and reply.status == OK:
             answer = _decode(reply.body)
             if isinstance(answer, FeedRefused):
@@ -230,7 +235,7 @@
                 return answer
             else:
                 reason = "too old"
-        self._avoided[address] = self._clock.monotonic() + pause
+        self._avoided_until[address] = self._clock.monotonic() + pause
         event(logger, "source_lost", source=address, prefix=call.prefix, reason=reason)
         return None
 
@@ -238,19 +243,21 @@
 def feed_sources(
     me: Member, members: Iterable[Member], seeds: Sequence[str]
 ) -> list[str]:
-    """Return the addresses that an entry follows, the best first.
+    """Return the addresses that an entry follows, in the order of preference.
 
-    A seed follows those before it, and the first one the store. The others form a tree
-    in each failure domain, whose head follows the seeds: so neither the followers of a
-    process nor the bytes between failure domains grow with the deployment.
+    A seed follows the seeds before it, and the first seed watches the store. The other
+    entries of each failure domain form a tree whose root follows the seeds. Therefore
+    neither the number of followers of a process nor the traffic between failure domains
+    grows with the deployment.
 
     Parameters
     ----------
     me : Member
+        The entry itself.
     members : iterable of Member
-        Entries that are known to live.
+        Entries that are known to be live.
     seeds : sequence of str
-        Addresses that all processes are told at their start.
+        Addresses that each process gets at its start.
 
     Examples
     --------
@@ -264,22 +271,22 @@
     """
     if me.address in seeds:
         return list(seeds[: seeds.index(me.address)])
-    others = rotated(seeds, me.address)
+    rotated_seeds = rotated(seeds, me.address)
     tree = sorted(
-        (one.name, one.address)
-        for one in members
-        if one.failure_domain == me.failure_domain
-        and not one.leaving
-        and one.address not in seeds
+        (member.name, member.address)
+        for member in members
+        if member.failure_domain == me.failure_domain
+        and not member.leaving
+        and member.address not in seeds
     )
-    mine = (me.name, me.address)
-    place = tree.index(mine) if mine in tree else 0
-    parent = [tree[(place - 1) // FOLLOWERS_PER_ENTRY][1]] if place else []
-    return [*parent, *others]
+    own_node = (me.name, me.address)
+    index = tree.index(own_node) if own_node in tree else 0
+    parent = [tree[(index - 1) // FOLLOWERS_PER_ENTRY][1]] if index else []
+    return [*parent, *rotated_seeds]
 
 
 def rotated(addresses: Sequence[str], key: str) -> list[str]:
-    """Return `addresses`, begun at a place that `key` decides, to spread followers."""
+    """Return `addresses` rotated by an offset from `key`, which spreads followers."""
     if not addresses:
         return []
     start = zlib.crc32(key.encode()) % len(addresses)
--- a/src/wigeonfront/coordination/membership.py
+++ b/src/wigeonfront/coordination/membership.py
@@ -1,4 +1,4 @@
-"""The processes that live, by rows under leases in the platform's store."""
+"""The live processes of a deployment, registered by rows under leases in the store."""
 
 import logging
 import math
@@ -19,52 +19,55 @@
 SIDE_PREFIX = "live/side/"
 STORAGE_PREFIX = "live/storage/"
 DISK_PREFIX = "live/disk/"
-"""Of rows without a lease: the processes with a disk that have ever registered."""
+"""Prefix of rows without a lease, one for each process with a disk that has ever
+registered."""
 
 RENEWALS_PER_LEASE = 3
-"""Renewals in a lease's term, so that two may be lost."""
+"""Number of renewals in the term of a lease, so that two of them may be lost."""
 
 RETRY_SECONDS = 0.25
-"""Pause after a first call that failed; it doubles, up to the pause of a renewal, so
-that the calls of an outage do not grow with it."""
+"""Pause after the first failed call. It doubles with each further failure up to the
+pause between two renewals, so that a long outage does not cause many calls."""
 
 MAX_DOUBLINGS = 10
+"""Largest exponent of the doubling; after thousands of failures the power of two would
+overflow a float."""
 
 IDLE_TERM_SECONDS = 20.0
-"""Term of the lease of a process whose work nobody would have to take over: all that a
-lost one costs is that others try to reach it."""
+"""Term of the lease of a process without work that others would have to take over. The
+loss of such a process only costs the others some failed attempts to reach it."""
 
 IDLE_AFTER_SECONDS = 15.0
-"""How long a process must have had nothing to take over before its lease gets longer:
-trainers submit a Lot each few seconds."""
+"""Time for which a process must have had no such work before its lease gets the longer
+term; trainers submit a Lot every few seconds."""
 
-LOOK_SECONDS = 0.25
-"""Pause between two looks whether the process stops, or has got something to do."""
+POLL_SECONDS = 0.25
+"""Pause between two checks whether the process stops or has got work to do."""
 
 MAX_ABSENCE_SECONDS = IDLE_TERM_SECONDS / RENEWALS_PER_LEASE + 1.0
-"""Time from the store's return in which every process that lives has registered again:
-the longest pause between two tries, and a call."""
+"""Time after an outage of the store in which each live process has registered again:
+the longest pause between two attempts, and the duration of a call."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A process that has registered.
+    """A registered process.
 
     Attributes
     ----------
     name : str
-        Machine.
+        Name of its machine.
     incarnation : str
-        Of the process; another after each start. Of a process with a disk, the disk's
-        id; another once the disk was lost.
+        Id of the process that changes with each start. For a process with a disk, the
+        id of the disk, which changes only when the disk is lost.
     address : str
-        ``host:port`` for calls of the system's other processes; of a side, that of the
-        engine beside it.
+        ``host:port`` for calls from other processes of the system; for a side, the
+        address of the engine on its machine.
     leaving : bool
-        It finishes what it has and takes on nothing new.
+        Whether it completes its present work and accepts no new work.
     failure_domain : str
     cores : float
-        Processor time that its machine gives, in cores.
+        Processor time of its machine, in cores.
     """
 
     name: str
@@ -77,16 +80,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Presence:
-    """Since when and until when a process is surely registered, for all others.
+    """The interval in which a process is certainly registered.
 
     Attributes
     ----------
     since_revision : int
-        Revision of the store at which its row was written, after it may have been
-        missing.
+        Revision of the store at which its row was written after the last time at which
+        the row may have been missing.
     until : float
-        Time up to which its lease can't have lapsed, on the clock that counts
-        suspensions.
+        Time before which its lease can't lapse, in seconds on the clock that also
+        counts suspensions of the VM.
     """
 
     since_revision: int = 0
@@ -104,29 +107,29 @@
 def decode_member(row: Row, prefix: str = ENTRY_PREFIX) -> Member | None:
     """Return the member that a row registers, or ``None`` where it is malformed."""
     try:
-        wire = msgspec.json.decode(row.value, type=_MemberRow)
+        decoded = msgspec.json.decode(row.value, type=_MemberRow)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return None
     name = row.key.removeprefix(prefix)
     return Member(
         name,
-        wire.incarnation,
-        wire.address,
-        wire.leaving,
-        wire.failure_domain,
-        wire.cores,
+        decoded.incarnation,
+        decoded.address,
+        decoded.leaving,
+        decoded.failure_domain,
+        decoded.cores,
     )
 
 
 def renewal_pause(term: float, failures: int) -> float:
-    """Return the seconds until a lease is renewed, or is tried to be.
+    """Return the pause in seconds until the next attempt to renew a lease.
 
     Parameters
     ----------
     term : float
-        Of the lease, in seconds.
+        Term of the lease, in seconds.
     failures : int
-        Calls in a row that have failed.
+        Number of consecutive calls that have failed.
     """
     pause = term / RENEWALS_PER_LEASE
     if not failures:
@@ -141,22 +144,24 @@
     ----------
     store : RowStore
     name, address : str
+        Name of the machine, and the address that others call.
     term : float
-        Of the lease while the process is busy, in seconds.
+        Term of the lease while the process is busy, in seconds.
     clock : Clock
     on_registered : callable
         Called after each registration.
     prefix : str
-        Of the rows of its kind of process.
+        Prefix of the rows of this kind of process.
     failure_domain : str
     cores : float
-        Of its machine.
+        Processor time of its machine, in cores.
     busy : callable
-        Tells whether others would have to take over its work if it were lost.
+        Returns whether others would have to take over its work if it were lost.
     incarnation : str
-        One of its own in place of another after each start.
+        Fixed incarnation; without it each start gets a random one.
     lasting_prefix : str
-        Of a second row that outlives the lease; without it there is none.
+        Prefix of a second row, which outlives the lease; without it there is no such
+        row.
 
     Examples
     --------
@@ -197,7 +202,7 @@
         self._store = store
         self._clock = clock
         self._busy_term = term
-        # Of the present lease.
+        # Term of the present lease.
         self._term = term
         self._lease = 0
         self._revision = 0
@@ -212,40 +217,40 @@
 
     @property
     def registered(self) -> bool:
-        """Whether the registration was written and not yet seen lost."""
+        """Whether the row was written, and its loss has not been noticed since."""
         return self._lease != 0
 
     @property
     def revision(self) -> int:
-        """Revision of the store at which the row was last written here."""
+        """Revision of the store at which this process last wrote its row."""
         return self._revision
 
     @property
     def presence(self) -> Presence:
-        """Since when and until when the others surely see it."""
+        """The interval in which this process is certainly registered."""
         return self._presence
 
     def run(self, stop: threading.Event) -> None:
-        """Register and renew (a supervisor's task)."""
+        """Register, then keep the lease renewed (a supervisor's task)."""
         failures = 0
         while not stop.is_set():
-            fits = self._lease and self._term == self._wanted_term()
-            held = self._renew() if fits else self._register()
+            lease_fits = self._lease and self._term == self._wanted_term()
+            held = self._renew() if lease_fits else self._register()
             failures = 0 if held else failures + 1
-            # What it gets to do while it is not registered would be taken over.
+            # Others would take over work that it gets while it is not registered.
             term = self._term if self._lease else self._busy_term
             self._wait(stop, renewal_pause(term, failures))
         if self._lease:
             self._store.revoke_lease(self._lease)
 
     def leave(self) -> None:
-        """Tell the others that this process takes on nothing new."""
+        """Announce that this process accepts no new work."""
         self.member = replace(self.member, leaving=True)
         if self._lease:
             self._write(self._lease)
 
     def restore(self) -> None:
-        """Register anew, after the row was seen to be missing."""
+        """Have the process registered again after its row was found missing."""
         self._lease = 0
         self._presence = Presence()
 
@@ -258,15 +263,15 @@
         return max(IDLE_TERM_SECONDS, self._busy_term)
 
     def _wait(self, stop: threading.Event, pause: float) -> None:
-        """Wait until the lease is to be renewed, or needs another term."""
+        """Wait until the lease is due for renewal or needs another term."""
         until = self._clock.monotonic() + pause
-        while not stop.wait(min(pause, LOOK_SECONDS)):
-            wants_other = self._lease and self._term != self._wanted_term()
-            if self._clock.monotonic() >= until or wants_other:
+        while not stop.wait(min(pause, POLL_SECONDS)):
+            term_changed = self._lease and self._term != self._wanted_term()
+            if self._clock.monotonic() >= until or term_changed:
                 return
 
     def _register(self) -> bool:
-        """Write the row under a new lease; one that it had before runs out."""
+        """Write the row under a new lease; a previous lease is left to lapse."""
         term = self._wanted_term()
         asked_at = self._clock.boottime()
         lease = self._store.grant_lease(term)
@@ -276,7 +281,7 @@
             return False
         self._lease = lease.lease
         self._term = term
-        self._presence = self._present_until(asked_at + lease.ttl)
+        self._presence = self._presence_until(asked_at + lease.ttl)
         event(
             logger,
             "registered",
@@ -287,8 +292,11 @@
         self._on_registered()
         return True
 
-    def _present_until(self, until: float) -> Presence:
-        """Return the presence after the row was written under a new lease."""
+    def _presence_until(self, until: float) -> Presence:
+        """Return the presence after the row was written under a new lease.
+
+        It begins anew unless the previous lease is certainly still valid.
+        """
         still_registered = self._clock.boottime() < self._presence.until
         since = self._presence.since_revision if still_registered else self._revision
         return Presence(since, until)
@@ -317,7 +325,7 @@
         presence, asked_at = self._presence, self._clock.boottime()
         outcome = self._store.renew_lease(self._lease)
         if isinstance(outcome, Lease):
-            # The row may have been missed meanwhile.
+            # The row may have been found missing during the call.
             if self._presence is presence:
                 self._presence = replace(presence, until=asked_at + outcome.ttl)
             return True
--- a/src/wigeonfront/coordination/meter.py
+++ b/src/wigeonfront/coordination/meter.py
@@ -1,4 +1,4 @@
-"""Counts the calls to the store."""
+"""Counts of the calls to the store."""
 
 import logging
 import threading
@@ -55,19 +55,19 @@
 
     def get(self, key: str) -> Row | Absent | Unavailable:
         """Read one key."""
-        return self._counted("get", key, self._store.get(key))
+        return self._count("get", key, self._store.get(key))
 
     def list(
         self, prefix: str, after: str = "", stale: bool = False
     ) -> Listing | Unavailable:
-        """Read all keys below `prefix` that sort behind `after`."""
+        """Read all keys below `prefix` that sort after `after`."""
         name = "stale_list" if stale else "list"
-        return self._counted(name, prefix, self._store.list(prefix, after, stale))
+        return self._count(name, prefix, self._store.list(prefix, after, stale))
 
     def watch(self, prefix: str, after: int, timeout: float) -> Changes | Unavailable:
         """Wait up to `timeout` seconds for writes below `prefix` after a revision."""
         changes = self._store.watch(prefix, after, timeout)
-        return self._counted("watch", prefix, changes)
+        return self._count("watch", prefix, changes)
 
     def write(
         self,
@@ -75,37 +75,37 @@
         puts: tuple[Put, ...] = (),
         deletes: tuple[str, ...] = (),
     ) -> TransactionOutcome:
-        """Write all of it if every condition holds, otherwise nothing."""
+        """Apply all writes and deletes if every condition holds, otherwise none."""
         key = puts[0].key if puts else "".join(deletes[:1])
-        return self._counted("write", key, self._store.write(expected, puts, deletes))
+        return self._count("write", key, self._store.write(expected, puts, deletes))
 
     def grant_lease(self, ttl: float) -> Lease | Unavailable | Uncertain:
-        """Ask for a lease of `ttl` seconds."""
-        return self._counted("grant", "", self._store.grant_lease(ttl))
+        """Request a lease of `ttl` seconds."""
+        return self._count("grant", "", self._store.grant_lease(ttl))
 
     def renew_lease(self, lease: int) -> Lease | LeaseLost | Unavailable:
         """Renew a lease for its full term."""
-        return self._counted("renew", "", self._store.renew_lease(lease))
+        return self._count("renew", "", self._store.renew_lease(lease))
 
     def revoke_lease(self, lease: int) -> Stored | LeaseLost | Unavailable | Uncertain:
         """End a lease at once."""
-        return self._counted("revoke", "", self._store.revoke_lease(lease))
+        return self._count("revoke", "", self._store.revoke_lease(lease))
 
-    def _counted(self, call: str, key: str, outcome: Any) -> Any:
-        rows = key.rpartition("/")[0].partition("/")[0] or "-"
-        name = type(outcome).__name__
-        self._calls.increment(call=call, rows=rows, outcome=name)
+    def _count(self, call: str, key: str, outcome: Any) -> Any:
+        group = key.rpartition("/")[0].partition("/")[0] or "-"
+        outcome_name = type(outcome).__name__
+        self._calls.increment(call=call, rows=group, outcome=outcome_name)
         return outcome
 
     def log_loop(self, stop: threading.Event) -> None:
-        """Log the counts now and then (a supervisor's task)."""
+        """Log the counts at regular intervals (a supervisor's task)."""
         while not stop.wait(LOG_SECONDS):
             event(logger, "store_calls", totals=self.totals())
 
     def totals(self) -> str:
-        """Return the counts so far as one short text, for a log line."""
+        """Return the counts so far as a short text for a log line."""
         totals: dict[str, float] = {}
-        for (call, rows, _), value in self._calls.collect().items():
-            name = f"{call}:{rows}"
+        for (call, group, _), value in self._calls.collect().items():
+            name = f"{call}:{group}"
             totals[name] = totals.get(name, 0) + float(value)
         return ",".join(f"{name}={count:g}" for name, count in sorted(totals.items()))
--- a/src/wigeonfront/coordination/mirror.py
+++ b/src/wigeonfront/coordination/mirror.py
@@ -1,8 +1,9 @@
-"""A copy of the rows below a prefix of the store, kept by a listing and a watch.
+"""Mirrors: local replicas of the rows below a prefix of the store.
 
-A watch whose history is gone is followed by a new listing, so that no deletion is
-missed. While the store does not answer, the copy stays as it is. Other processes may
-follow the copy, see `wigeonfront.coordination.feed`.
+A mirror lists the rows once and then follows them by a watch. When the store no longer
+has the history that a watch needs, the mirror lists the rows again, so that it misses
+no deletion. While the store does not answer, the mirror keeps its rows. Other processes
+may follow a mirror; see `wigeonfront.coordination.feed`.
 """
 
 import logging
@@ -25,23 +26,26 @@
 logger = logging.getLogger(__name__)
 
 WATCH_SECONDS = 20.0
-"""How long one watch waits by default."""
+"""Default time that one watch waits for a change."""
 
 RETRY_SECONDS = 0.2
-"""Pause after a failed call; a tenth of the time in which a change must be in force."""
+"""Pause after the first failed call: a tenth of the time in which a change must be in
+force."""
 
 MAX_RETRY_SECONDS = 1.0
-"""Longest pause, to which pauses double in an outage."""
+"""Longest pause between two calls in an outage, up to which the pause doubles."""
 
 MIN_ADVANCE_SECONDS = 0.05
-"""Time by which the copy must have become newer for followers to be told so."""
+"""Shortest time by which the mirror must have become more recent before it answers a
+waiting follower that there is no change."""
 
-LOG_LENGTH = 500
-"""Changes that are kept for followers; one that is further behind lists anew."""
+MAX_KEPT_CHANGES = 500
+"""Number of changes kept for followers; a follower that is further behind lists the
+rows again."""
 
 
 OnChange = Callable[["Mirror"], None]
-"""Called with a mirror whose rows have changed."""
+"""Callback that gets a mirror whose rows have changed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +63,7 @@
 
 
 class Mirror:
-    """Rows below one prefix.
+    """A replica of the rows below one prefix.
 
     Parameters
     ----------
@@ -69,11 +73,11 @@
     on_change : callable
         Called with the mirror after each change, from the mirror's thread.
     pause : float
-        Seconds between two watches, in which changes gather: each watch is a
-        call to the store.
+        Time between two watches in seconds. Changes in this time are answered by one
+        watch, and each watch is a call to the store.
     wait : float
-        Seconds that one watch waits. A store that drops its history may leave a
-        waiting watch without the changes before; only the next one is told so.
+        Longest time that one watch waits, in seconds. When the store drops its history,
+        a waiting watch may miss the changes before; only the next watch reports it.
 
     Examples
     --------
@@ -109,9 +113,11 @@
         self._wait = wait
         self._lock = threading.Lock()
         self._changed = threading.Condition(self._lock)
-        self._log: deque[Change] = deque(maxlen=LOG_LENGTH)
-        self._log_start = 0
-        self._present_at = -1e9
+        self._kept_changes: deque[Change] = deque(maxlen=MAX_KEPT_CHANGES)
+        # Revision after which all changes are kept.
+        self._kept_after = 0
+        # Monotonic time as of which the rows are known.
+        self._fresh_at = -1e9
         self._rows: dict[str, Row] = {}
         self._revision = 0
         self._listed = False
@@ -120,68 +126,72 @@
 
     @property
     def prefix(self) -> str:
-        """The prefix."""
+        """The prefix of the rows."""
         return self._prefix
 
     @property
     def ready(self) -> bool:
-        """Whether rows were listed at least once."""
+        """Whether the rows have been listed, and need not be listed again."""
         return self._listed
 
     @property
     def failing(self) -> bool:
-        """Whether the store does not answer now."""
+        """Whether the last call to the store failed."""
         return self._failing_since is not None
 
     @property
     def regained_at(self) -> float:
-        """Monotonic time at which the store last began to answer again."""
+        """Monotonic time at which the store last answered again after an outage."""
         return self._regained_at
 
     @property
     def revision(self) -> int:
-        """Revision of the store that the rows are as of."""
+        """Revision of the store at which the rows were last known."""
         return self._revision
 
     def state(self) -> MirrorState:
-        """Return the rows and the revision that they are as of."""
+        """Return the rows with their revision."""
         with self._lock:
             return MirrorState(dict(self._rows), self._revision)
 
     def get(self, key: str) -> Row | None:
-        """Return one row."""
+        """Return one row, or ``None`` where there is none."""
         with self._lock:
             return self._rows.get(key)
 
     @property
     def age(self) -> float:
-        """Seconds by which the copy may be behind the store."""
-        return self._clock.monotonic() - self._present_at
+        """Time by which the rows may be behind the store, in seconds."""
+        return self._clock.monotonic() - self._fresh_at
 
     def changes_after(self, after: int, wait: float) -> Changes:
-        """Return the changes behind a revision; wait for one if there is none.
+        """Return the changes after a revision; wait for one if there is none.
 
-        The wait also ends once the store has answered that there is none, so that
-        followers learn at once how new the copy is, however many of them stand between.
+        The wait also ends once the store has answered that there is no change. Each
+        follower in a chain thus learns at once how recent the rows are.
 
         Parameters
         ----------
+        after : int
+            Revision after which changes are returned.
         wait : float
             Longest wait in seconds.
         """
         deadline = self._clock.monotonic() + wait
         with self._lock:
-            known_at = self._present_at
+            fresh_at = self._fresh_at
             while self._revision <= after:
-                if self._present_at > known_at + MIN_ADVANCE_SECONDS:
+                if self._fresh_at > fresh_at + MIN_ADVANCE_SECONDS:
                     return Changes((), after)
                 remaining = deadline - self._clock.monotonic()
                 if remaining <= 0:
                     return Changes((), after)
                 self._changed.wait(remaining)
-            if after < self._log_start:
+            if after < self._kept_after:
                 return Changes((), after, compacted=True)
-            newer = tuple(one for one in self._log if one.revision > after)
+            newer = tuple(
+                change for change in self._kept_changes if change.revision > after
+            )
             return Changes(newer, self._revision)
 
     def run(self, stop: threading.Event) -> None:
@@ -198,9 +208,9 @@
     def _list(self) -> bool:
         listing = self._source.list(self._prefix)
         if isinstance(listing, Unavailable):
-            self._failed("list", listing.reason)
+            self._note_failure("list", listing.reason)
             return False
-        self._answered()
+        self._note_answer()
         with self._lock:
             if listing.revision >= self._revision:
                 self._replace(listing.rows, listing.revision)
@@ -212,16 +222,16 @@
     def _replace(self, rows: Iterable[Row], revision: int) -> None:
         self._rows = {row.key: row for row in rows}
         self._revision = revision
-        self._log.clear()
-        self._log_start = revision
+        self._kept_changes.clear()
+        self._kept_after = revision
         self._changed.notify_all()
 
     def _watch(self) -> bool:
         changes = self._source.watch(self._prefix, self._revision, self._wait)
         if isinstance(changes, Unavailable):
-            self._failed("watch", changes.reason)
+            self._note_failure("watch", changes.reason)
             return False
-        self._answered()
+        self._note_answer()
         if changes.compacted:
             event(logger, "history_gone", prefix=self._prefix, after=self._revision)
             self._listed = False
@@ -240,22 +250,22 @@
         known = self._rows.get(change.key)
         if known is not None and known.revision >= change.revision:
             return
-        if len(self._log) == LOG_LENGTH:
-            self._log_start = self._log[0].revision
-        self._log.append(change)
+        if len(self._kept_changes) == MAX_KEPT_CHANGES:
+            self._kept_after = self._kept_changes[0].revision
+        self._kept_changes.append(change)
         if change.value is None:
             self._rows.pop(change.key, None)
         else:
             self._rows[change.key] = Row(change.key, change.value, change.revision)
 
-    def _failed(self, call: str, reason: str) -> None:
+    def _note_failure(self, call: str, reason: str) -> None:
         if self._failing_since is None:
             self._failing_since = self._clock.monotonic()
             event(logger, "store_lost", prefix=self._prefix, call=call, reason=reason)
 
-    def _answered(self) -> None:
+    def _note_answer(self) -> None:
         with self._lock:
-            self._present_at = self._clock.monotonic() - self._source.age
+            self._fresh_at = self._clock.monotonic() - self._source.age
             self._changed.notify_all()
         if self._failing_since is None:
             return
--- a/src/wigeonfront/coordination/relay.py
+++ b/src/wigeonfront/coordination/relay.py
@@ -1,8 +1,9 @@
-"""The store through another process, for one that the store turns away.
+"""Relays: store calls made through another process.
 
-A process whose calls the store refuses, or that is cut off from it, asks another
-process of the system to make the call. `RoutedStore` decides which way a call goes;
-`RelayServer` makes calls for others, only directly, so that no call goes in circles.
+A process whose calls the store refuses, or that is cut off from the store, asks another
+process of the system to make the call. `RoutedStore` decides whether a call goes to the
+store directly or through a relay. `RelayServer` makes calls for other processes. It
+always calls the store directly, so that no call goes in circles.
 """
 
 import logging
@@ -40,15 +41,17 @@
 RELAY_PATH = "/store"
 
 PROBE_SECONDS = 1.0
-"""Time after a failed direct call before another is tried: a silent one costs its
-caller a second."""
+"""Time after a failed direct call until the next one is attempted: a direct call that
+gets no answer costs its caller a second."""
 
 RELAY_CONNECT_SECONDS = 0.3
 RELAY_CALL_SECONDS = 1.3
-"""Longest wait for a relayed call: what the other process waits, and the way."""
+"""Longest wait for a relayed call: the longest wait of the relay for the store, and the
+latency between the processes."""
 
 MAX_RELAYS = 2
-"""Processes asked for one call; a third fails for the same reason in most cases."""
+"""Number of relays that are asked for one call; a third one fails for the same reason
+in most cases."""
 
 OK = 200
 MAX_BODY_BYTES = 4 * 1024 * 1024
@@ -75,8 +78,8 @@
 
     key: str
 
-    def make(self, store: RowStore) -> Any:
-        """Make the call."""
+    def execute(self, store: RowStore) -> Any:
+        """Make the call to `store` and return its outcome."""
         return store.get(self.key)
 
 
@@ -87,8 +90,8 @@
     after: str = ""
     stale: bool = False
 
-    def make(self, store: RowStore) -> Any:
-        """Make the call."""
+    def execute(self, store: RowStore) -> Any:
+        """Make the call to `store` and return its outcome."""
         return store.list(self.prefix, self.after, self.stale)
 
 
@@ -99,8 +102,8 @@
     after: int
     timeout: float
 
-    def make(self, store: RowStore) -> Any:
-        """Make the call."""
+    def execute(self, store: RowStore) -> Any:
+        """Make the call to `store` and return its outcome."""
         return store.watch(self.prefix, self.after, self.timeout)
 
 
@@ -111,8 +114,8 @@
     puts: tuple[Put, ...] = ()
     deletes: tuple[str, ...] = ()
 
-    def make(self, store: RowStore) -> Any:
-        """Make the call."""
+    def execute(self, store: RowStore) -> Any:
+        """Make the call to `store` and return its outcome."""
         return store.write(self.expected, self.puts, self.deletes)
 
 
@@ -121,8 +124,8 @@
 
     ttl: float
 
-    def make(self, store: RowStore) -> Any:
-        """Make the call."""
+    def execute(self, store: RowStore) -> Any:
+        """Make the call to `store` and return its outcome."""
         return store.grant_lease(self.ttl)
 
 
@@ -131,8 +134,8 @@
 
     lease: int
 
-    def make(self, store: RowStore) -> Any:
-        """Make the call."""
+    def execute(self, store: RowStore) -> Any:
+        """Make the call to `store` and return its outcome."""
         return store.renew_lease(self.lease)
 
 
@@ -141,8 +144,8 @@
 
     lease: int
 
-    def make(self, store: RowStore) -> Any:
-        """Make the call."""
+    def execute(self, store: RowStore) -> Any:
+        """Make the call to `store` and return its outcome."""
         return store.revoke_lease(self.lease)
 
 
@@ -152,7 +155,7 @@
 
 
 class _Envelope(msgspec.Struct, frozen=True):
-    """An outcome with the name of its type."""
+    """An outcome together with the name of its type."""
 
     kind: str
     value: msgspec.Raw
@@ -165,12 +168,12 @@
 
 
 def decode_outcome(body: bytes) -> Any:
-    """Return the outcome that `body` holds.
+    """Return the outcome that a body of JSON holds.
 
     Raises
     ------
     msgspec.DecodeError
-        When it is malformed.
+        If `body` is malformed or names an unknown type.
     """
     envelope = msgspec.json.decode(body, type=_Envelope)
     kind = _OUTCOMES.get(envelope.kind)
@@ -185,7 +188,7 @@
     Parameters
     ----------
     store : RowStore
-        The direct way.
+        The store, which is called directly.
     """
 
     def __init__(self, store: RowStore) -> None:
@@ -194,27 +197,29 @@
     def answer(self, call: RawCall) -> None:
         """Answer one call over HTTP."""
         try:
-            asked = msgspec.json.decode(call.body(MAX_BODY_BYTES), type=StoreCall)
+            request = msgspec.json.decode(call.body(MAX_BODY_BYTES), type=StoreCall)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             event(logger, "bad_relay_call", reason=str(error)[:200])
             call.reply(400)
             return
-        outcome = asked.make(self._store)
+        outcome = request.execute(self._store)
         call.reply(
             200, encode_outcome(outcome), (("Content-Type", "application/json"),)
         )
 
 
 class RoutedStore:
-    """A `RowStore` that goes through another process while the direct way fails.
+    """A `RowStore` that uses relays while direct calls to the store fail.
 
     Parameters
     ----------
     direct : RowStore
+        The store, called directly.
     relays : callable
-        Returns the addresses of processes that may be asked.
+        Returns the addresses of the processes that may serve as relays.
     clock : Clock
     random : random.Random
+        Decides the order in which relays are asked.
 
     Examples
     --------
@@ -251,17 +256,17 @@
 
     def get(self, key: str) -> Row | Absent | Unavailable:
         """Read one key."""
-        return self._make(GetCall(key))
+        return self._call(GetCall(key))
 
     def list(
         self, prefix: str, after: str = "", stale: bool = False
     ) -> Listing | Unavailable:
-        """Read all keys below `prefix` that sort behind `after`."""
-        return self._make(ListCall(prefix, after, stale))
+        """Read all keys below `prefix` that sort after `after`."""
+        return self._call(ListCall(prefix, after, stale))
 
     def watch(self, prefix: str, after: int, timeout: float) -> Changes | Unavailable:
         """Wait up to `timeout` seconds for writes below `prefix` after a revision."""
-        return self._make(WatchCall(prefix, after, timeout), timeout)
+        return self._call(WatchCall(prefix, after, timeout), timeout)
 
     def write(
         self,
@@ -269,25 +274,25 @@
         puts: tuple[Put, ...] = (),
         deletes: tuple[str, ...] = (),
     ) -> TransactionOutcome:
-        """Write all of it if every condition holds, otherwise nothing."""
-        return self._make(WriteCall(expected, puts, deletes))
+        """Apply all writes and deletes if every condition holds, otherwise none."""
+        return self._call(WriteCall(expected, puts, deletes))
 
     def grant_lease(self, ttl: float) -> Lease | Unavailable | Uncertain:
-        """Ask for a lease of `ttl` seconds."""
-        return self._make(GrantCall(ttl))
+        """Request a lease of `ttl` seconds."""
+        return self._call(GrantCall(ttl))
 
     def renew_lease(self, lease: int) -> Lease | LeaseLost | Unavailable:
         """Renew a lease for its full term."""
-        return self._make(RenewCall(lease))
+        return self._call(RenewCall(lease))
 
     def revoke_lease(self, lease: int) -> Stored | LeaseLost | Unavailable | Uncertain:
         """End a lease at once."""
-        return self._make(RevokeCall(lease))
+        return self._call(RevokeCall(lease))
 
-    def _make(self, call: StoreCall, wait: float = 0.0) -> Any:
-        if self._tries_direct():
-            outcome: Any = call.make(self._direct)
-            self._note(outcome)
+    def _call(self, call: StoreCall, wait: float = 0.0) -> Any:
+        if self._should_call_directly():
+            outcome: Any = call.execute(self._direct)
+            self._note_direct(outcome)
             if not isinstance(outcome, Unavailable):
                 return outcome
             relayed = self._relay(call, wait)
@@ -295,24 +300,24 @@
         relayed = self._relay(call, wait)
         if relayed is not None:
             return relayed
-        # Nobody else can be asked, so that even a doubtful direct call is better.
-        outcome = call.make(self._direct)
-        self._note(outcome)
+        # No relay could be asked, so a direct call that may fail is still better.
+        outcome = call.execute(self._direct)
+        self._note_direct(outcome)
         return outcome
 
-    def _tries_direct(self) -> bool:
-        """Tell whether the direct way is worth a call now."""
+    def _should_call_directly(self) -> bool:
+        """Return whether to call the store directly now."""
         with self._lock:
             if self._failed_at is None:
                 return True
             now = self._clock.monotonic()
             if now - self._failed_at < PROBE_SECONDS:
                 return False
-            # Others go on through relays while this call finds out.
+            # Other calls still use relays until this call has shown the result.
             self._failed_at = now
             return True
 
-    def _note(self, outcome: Any) -> None:
+    def _note_direct(self, outcome: Any) -> None:
         failed = isinstance(outcome, Unavailable | Uncertain)
         with self._lock:
             was_failing = self._failed_at is not None
@@ -326,15 +331,15 @@
             )
 
     def _relay(self, call: StoreCall, wait: float) -> Any:
-        """Ask other processes to make the call; ``None`` if none could be asked."""
+        """Return the outcome of a call through relays; ``None`` if none answered."""
         addresses = list(self._relays())
         self._random.shuffle(addresses)
         body = msgspec.json.encode(call)
         outcome: Any = None
         in_doubt = False
         for address in addresses[:MAX_RELAYS]:
-            seconds = RELAY_CALL_SECONDS + wait
-            answer = self._pools.post(address, RELAY_PATH, body, seconds)
+            timeout = RELAY_CALL_SECONDS + wait
+            answer = self._pools.post(address, RELAY_PATH, body, timeout)
             if not isinstance(answer, Answer) or answer.status != OK:
                 in_doubt = in_doubt or not isinstance(answer, NotSent)
                 continue
@@ -347,6 +352,6 @@
             if not isinstance(outcome, Unavailable):
                 return outcome
         if in_doubt and isinstance(call, WriteCall | GrantCall):
-            # A relay may have made the write without being heard.
+            # A relay may have made the write although its answer was lost.
             return Uncertain("relay")
         return outcome
--- a/src/wigeonfront/coordination/rendezvous.py
+++ b/src/wigeonfront/coordination/rendezvous.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: who has what, worked out alike by every process.
+"""Rendezvous hashing: every process maps a key to the same one of several names.
 
-Each (key, name) pair has a pseudo-random score. The name with the highest score
-has the key, so when a name leaves only its own keys move. With weights the
-expected share of a name is proportional to its weight [1]_.
+Each (key, name) pair has a pseudo-random score, and the name with the highest score
+owns the key. When a name leaves, only its own keys move. With weights, the expected
+share of a name is proportional to its weight [1]_.
 
 References
 ----------
@@ -29,42 +29,43 @@
 
 
 def score(key: str, name: str, weight: float = 1.0) -> float:
-    """Return the score of `name` for `key`: higher goes first.
+    """Return the score of `name` for `key`; the highest score owns the key.
 
     Parameters
     ----------
     key, name : str
     weight : float
-        Share of `name` in relation to others; 0 or less never wins.
+        Share of `name` relative to that of the others. A name with a weight of 0 or
+        less gets the score 0.
 
     Returns
     -------
     float
-        Positive; an exponential variate's reciprocal times `weight`.
+        The reciprocal of an exponential variate, times `weight`.
     """
     if weight <= 0:
         return 0.0
-    rank = int.from_bytes(_rank(key.encode() + SEPARATOR, name))
-    uniform = (rank + 0.5) / SCORE_RANGE
-    # A uniform that rounds to 1 has the highest score there is.
+    digest = int.from_bytes(_digest(key.encode() + SEPARATOR, name))
+    uniform = (digest + 0.5) / SCORE_RANGE
+    # A variate that rounds to 1 gets the highest score, which is infinite.
     return weight / -math.log(uniform) if uniform < 1.0 else math.inf
 
 
 def ranked(
     key: str, names: Iterable[str], weights: Mapping[str, float] | None = None
 ) -> list[str]:
-    """Return `names` in the order of their claim on `key`.
+    """Return `names` in the order of their scores for `key`, the owner first.
 
     Parameters
     ----------
     key : str
     names : iterable of str
-        Without repetition, in any order.
+        Names without repetition, in any order.
     weights : mapping, optional
-        Weight by name; 1 for names left out.
+        Weight by name. Names that are missing have the weight 1.
     """
-    shares = weights or {}
-    scored = [(score(key, name, shares.get(name, 1.0)), name) for name in names]
+    weight_by_name = weights or {}
+    scored = [(score(key, name, weight_by_name.get(name, 1.0)), name) for name in names]
     scored.sort(reverse=True)
     return [name for _, name in scored]
 
@@ -72,13 +73,13 @@
 def owner(
     key: str, names: Iterable[str], weights: Mapping[str, float] | None = None
 ) -> str | None:
-    """Return the first of `ranked`, or ``None`` where there are no names."""
-    shares = weights or {}
-    best = max(
-        ((score(key, name, shares.get(name, 1.0)), name) for name in names),
+    """Return the first name of `ranked`, or ``None`` where there are no names."""
+    weight_by_name = weights or {}
+    highest = max(
+        ((score(key, name, weight_by_name.get(name, 1.0)), name) for name in names),
         default=(0.0, None),
     )
-    return best[1]
+    return highest[1]
 
 
 def bounded_owner(
@@ -87,7 +88,7 @@
     added: float = 1.0,
     factor: float = LOAD_FACTOR,
 ) -> str | None:
-    """Return the first of `ranked` whose load stays near the mean.
+    """Return the first name of `ranked` whose load stays near the mean.
 
     Parameters
     ----------
@@ -95,33 +96,33 @@
     loads : mapping
         Present load by name, in any unit.
     added : float
-        Load that the key brings, in the same unit.
+        Load that the key adds, in the same unit.
     factor : float
-        At least 1: most load of a name, relative to the mean with `added`.
+        Highest load of a name relative to the mean that includes `added`; at least 1.
 
     Returns
     -------
     str or None
-        The least loaded name where none has room; ``None`` where `loads` is
-        empty.
+        The name with the lowest load where none has capacity; ``None`` where `loads`
+        is empty.
 
     Examples
     --------
-    >>> favourite = owner("prompt", ["a", "b"])
-    >>> bounded_owner("prompt", {"a": 0, "b": 0}) == favourite
+    >>> first = owner("prompt", ["a", "b"])
+    >>> bounded_owner("prompt", {"a": 0, "b": 0}) == first
     True
-    >>> loads = {"a": 0, "b": 0} | {favourite: 10}
-    >>> bounded_owner("prompt", loads) == favourite
+    >>> loads = {"a": 0, "b": 0} | {first: 10}
+    >>> bounded_owner("prompt", loads) == first
     False
     """
     if not loads:
         return None
     limit = factor * (sum(loads.values()) + added) / len(loads)
-    order = ranked(key, loads)
-    for name in order:
+    names = ranked(key, loads)
+    for name in names:
         if loads[name] + added <= max(limit, added):
             return name
-    return min(order, key=lambda name: loads[name])
+    return min(names, key=lambda name: loads[name])
 
 
 def subset(
@@ -129,26 +130,26 @@
 ) -> list[str]:
     """Return the targets that `member` uses.
 
-    Each target is used by the same number of members, its best ranked ones, so
-    that no target is left out and none is used more than the others. A member
-    that leaves is replaced at just its own targets. One member's share is worked
-    out alone, with a few hashes for each target however many members there are.
+    Each target is used by the same number of members, namely those that rank highest
+    for it, so that no target is left out and none is used more than the others. When a
+    member leaves, only its own targets get another member. A member computes its own
+    subset alone, with a few hashes for each target regardless of the number of members.
 
     Parameters
     ----------
     member : str
     members : iterable of str
-        All members; `member` is added where it is missing.
+        All members. `member` is added where it is missing.
     targets : iterable of str
     size : int
-        Mean number of targets of a member. The shares spread about it as a
-        binomial variate, and are larger where the members are too few to use
-        each target once.
+        Mean number of targets of a member. The sizes of the subsets vary about it like
+        a binomial variate. They are larger where there are too few members to use each
+        target once.
 
     Returns
     -------
     list of str
-        Sorted. All targets, where there are no more than `size`.
+        The targets in sorted order: all of them, where there are at most `size`.
 
     Examples
     --------
@@ -167,18 +168,18 @@
     ]
 
 
-def _is_among_best(member: str, others: list[str], target: str, places: int) -> bool:
-    """Tell whether fewer than `places` of `others` go before `member`."""
+def _is_among_best(member: str, others: list[str], target: str, count: int) -> bool:
+    """Return whether fewer than `count` of `others` rank higher than `member`."""
     prefix = target.encode() + SEPARATOR
-    own = (_rank(prefix, member), member)
-    better = 0
+    own_rank = (_digest(prefix, member), member)
+    higher = 0
     for other in others:
-        if (_rank(prefix, other), other) > own:
-            better += 1
-            if better >= places:
+        if (_digest(prefix, other), other) > own_rank:
+            higher += 1
+            if higher >= count:
                 return False
     return True
 
 
-def _rank(prefix: bytes, name: str) -> bytes:
+def _digest(prefix: bytes, name: str) -> bytes:
     return blake2b(prefix + name.encode(), digest_size=SCORE_BYTES).digest()
--- a/src/wigeonfront/coordination/rights.py
+++ b/src/wigeonfront/coordination/rights.py
@@ -1,4 +1,4 @@
-"""The right to act for subjects, confirmed by reads; who writes the agreed row.
+"""Rights to act for subjects, confirmed by reads, and the writer of the assignment.
 
 Examples
 --------
@@ -36,26 +36,26 @@
 ASSIGNMENT_KEY = "live/assignment"
 
 RETRY_SECONDS = 0.5
-"""Pause until a row that gives no right, or was not to be had, is read again."""
+"""Pause until the row is read again after a read that failed or gave no right."""
 
-LOOK_SECONDS = 0.5
-"""Pause between two looks whether the row is to change."""
+POLL_SECONDS = 0.5
+"""Pause between two checks whether the row is to change."""
 
 
 class Rights:
-    """Which subjects this machine may act for now.
+    """The subjects that this machine may act for now.
 
     Parameters
     ----------
     store : RowStore
     name : str
-        Of the machine.
+        Name of the machine.
     term : float
-        Seconds for which a confirmed right holds.
+        Time for which a confirmed right is valid, in seconds.
     clock : Clock
-    told : bool
-        Newer rows are handed over by `take`, so that a row which gives no right need
-        not be read again.
+    receives_updates : bool
+        Whether `update_assignment` is called with newer rows, so that a row which gives
+        no right need not be read again.
     """
 
     def __init__(
@@ -64,21 +64,21 @@
         name: str,
         term: float,
         clock: Clock,
-        told: bool = True,
+        receives_updates: bool = True,
     ) -> None:
         self._store = store
         self._name = name
         self._term = term
         self._clock = clock
-        self._told = told
+        self._receives_updates = receives_updates
         self._lock = threading.Lock()
-        self._reading = threading.Lock()
+        self._read_lock = threading.Lock()
         self._assignment: Assignment | None = None
         self._asked_at = -1e9
         self._confirmed_at = -1e9
 
     def update_assignment(self, assignment: Assignment) -> None:
-        """Take a row that was heard of; it confirms nothing."""
+        """Note a row that was learned from elsewhere; this confirms no right."""
         with self._lock:
             known = self._assignment
             if known is None or assignment.revision > known.revision:
@@ -87,19 +87,19 @@
     def fence(self, subject: str) -> int | None:
         """Return the fencing token for an act for `subject`.
 
-        ``None`` where this machine has no right to it, as far as is known. The act must
-        be on its way at once, and have arrived within `FLIGHT_SECONDS`.
+        ``None`` where this machine has no confirmed right. The act must be sent at once
+        and must arrive within `FLIGHT_SECONDS`.
         """
-        # One read does for all that ask at the same moment.
-        with self._reading:
+        # One read serves all callers of the same moment.
+        with self._read_lock:
             if self._should_read(subject):
                 self._read()
         with self._lock:
             assignment = self._assignment
             if assignment is None or not self._confirmed:
                 return None
-            holds = assignment.holder(subject) == self._name
-            return assignment.revision if holds else None
+            is_holder = assignment.holder(subject) == self._name
+            return assignment.revision if is_holder else None
 
     @property
     def _confirmed(self) -> bool:
@@ -112,62 +112,68 @@
                 return False
             if known is not None and known.holder(subject) == self._name:
                 return not self._confirmed
-            return known is None or not self._told
+            return known is None or not self._receives_updates
 
     def _read(self) -> None:
-        """Read the row; what a linearizable read shows holds from its sending on."""
+        """Read the row; the term of a right starts when the read is sent.
+
+        The read is linearizable: the row that it returns was current at some time after
+        the read was sent.
+        """
         self._asked_at = self._clock.boottime()
         row = self._store.get(ASSIGNMENT_KEY)
         if not isinstance(row, Row):
             return
-        read = decode_assignment(row.value, row.revision)
-        if read is None:
+        assignment = decode_assignment(row.value, row.revision)
+        if assignment is None:
             event(logger, "bad_assignment", revision=row.revision)
             return
-        self.update_assignment(read)
+        self.update_assignment(assignment)
         with self._lock:
             self._confirmed_at = self._asked_at
 
 
 class AssignmentKeeper:
-    """Writes the row when holders come or go; each entry has one.
+    """Writes the row of the assignment when holders join or leave; each entry has one.
 
     Parameters
     ----------
     store : RowStore
     name : str
-        Of the machine.
-    present : callable
-        Returns what this process sees of the others, or ``None`` while it can't tell.
-    apart_seconds : float
-        Time that must lie between the acts of two machines.
+        Name of the machine.
+    view : callable
+        Returns the processes that this one knows of, or ``None`` while its knowledge
+        may be out of date.
+    separation_seconds : float
+        Shortest time that must lie between the acts of two machines.
     clock : Clock
     on_change : callable
-        Called with each row that was written here.
+        Called with each row that this process has written.
     """
 
     def __init__(
         self,
         store: RowStore,
         name: str,
-        present: Callable[[], MembershipView | None],
-        apart_seconds: float,
+        view: Callable[[], MembershipView | None],
+        separation_seconds: float,
         clock: Clock,
         on_change: Callable[[Assignment], None],
     ) -> None:
         self._store = store
         self._name = name
-        self._present = present
-        self._apart_seconds = apart_seconds
+        self._view = view
+        self._separation_seconds = separation_seconds
         self._clock = clock
         self._on_change = on_change
         self._current: Assignment | None = None
-        # When the present row was first seen here, and since when a change is due.
+        # Time at which this process first saw the present row, and time since which a
+        # change is due.
         self._seen_at = clock.boottime()
         self._due_since: float | None = None
 
     def update_assignment(self, assignment: Assignment) -> None:
-        """Take the row that the mirror shows."""
+        """Note a newer row, such as the mirror shows."""
         current = self._current
         if current is None or assignment.revision > current.revision:
             self._current = assignment
@@ -175,17 +181,17 @@
             self._due_since = None
 
     def run(self, stop: threading.Event) -> None:
-        """Write what is due (a supervisor's task)."""
-        while not stop.wait(LOOK_SECONDS):
+        """Write the changes that are due (a supervisor's task)."""
+        while not stop.wait(POLL_SECONDS):
             self.write_if_due()
 
     def write_if_due(self) -> None:
-        """Write the next row if it is due and this entry's turn."""
-        present = self._present()
-        if present is None:
+        """Write the next row if it is due and it is this entry's turn."""
+        view = self._view()
+        if view is None:
             self._due_since = None
             return
-        after = self._next(present)
+        after = self._next(view)
         if after is None:
             self._due_since = None
             return
@@ -193,16 +199,16 @@
         if self._due_since is None:
             self._due_since = now
         pause = coalescing_seconds(self._current, after)
-        pause += writer_pause(self._name, present.staying)
+        pause += writer_pause(self._name, view.staying)
         if now - self._due_since >= pause:
             self._write(after)
 
-    def _next(self, present: MembershipView) -> Assignment | None:
+    def _next(self, view: MembershipView) -> Assignment | None:
         current = self._current
         if current is None or current.before is None:
-            return next_assignment(current, present)
-        waited = self._clock.boottime() - self._seen_at
-        if waited < current.settle_seconds(self._apart_seconds):
+            return next_assignment(current, view)
+        elapsed = self._clock.boottime() - self._seen_at
+        if elapsed < current.settle_seconds(self._separation_seconds):
             return None
         return settled(current)
 
--- a/src/wigeonfront/coordination/ring.py
+++ b/src/wigeonfront/coordination/ring.py
@@ -1,6 +1,6 @@
-"""A consistent-hash ring: who of several names has a key.
+"""A consistent-hash ring, which maps a key to one of several names.
 
-When a name joins or leaves, only the keys of its own points move.
+When a name joins or leaves, only the keys at its own points move.
 
 Examples
 --------
@@ -15,14 +15,15 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-POINTS = 64
-"""Points of each name: shares of a ring then differ by an eighth of the mean."""
+POINTS_PER_NAME = 64
+"""Number of points of each name on the ring. With 64 points, the shares of the names
+deviate from the mean by an eighth of it."""
 
 POINT_BYTES = 8
 
 
 class HashRing:
-    """The ring of `names`.
+    """A consistent-hash ring of `names`.
 
     Parameters
     ----------
@@ -33,17 +34,20 @@
         pairs = sorted(
             (_point(f"{number}:{name}"), name)
             for name in names
-            for number in range(POINTS)
+            for number in range(POINTS_PER_NAME)
         )
         self._points = [point for point, _ in pairs]
         self._names = [name for _, name in pairs]
 
     def owner(self, key: str) -> str | None:
-        """Return the name whose point follows that of `key`; ``None`` for no names."""
+        """Return the name whose point follows the point of `key`.
+
+        ``None`` where there are no names.
+        """
         if not self._points:
             return None
-        place = bisect(self._points, _point(key))
-        return self._names[place % len(self._names)]
+        index = bisect(self._points, _point(key))
+        return self._names[index % len(self._names)]
 
 
 def _point(text: str) -> int:
--- a/src/wigeonfront/coordination/rows.py
+++ b/src/wigeonfront/coordination/rows.py
@@ -1,10 +1,11 @@
-"""What a store of rows answers: each outcome is a value, an outage too.
+"""The interface of a store of rows, in which each outcome of a call is a value.
 
-The core asks for a `RowStore`; the platform's adapter and the tests' fakes give one.
+An outage is such an outcome as well and raises no exception. The core requires a
+`RowStore`; the platform's adapter and the fakes of the tests implement it.
 
 Examples
 --------
-A write takes effect only if the rows that it expects are as they were read:
+A write takes effect only if the expected rows still have the given revisions:
 
 >>> from platform_standins.rows import MemoryRows
 >>> rows = MemoryRows()
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A key's value with the revision of its last write."""
+    """The value of a key with the revision of its last write."""
 
     key: str
     value: bytes
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Absent:
-    """The key has no value. `revision` is the service's newest revision."""
+    """The key has no value; `revision` is the newest revision of the store."""
 
     revision: int = 0
 
@@ -43,21 +44,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The service was not reached; nothing was written."""
+    """The store was not reached; nothing was written."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Uncertain:
-    """The call was sent and its answer lost; the write may have taken effect."""
+    """The call was sent and its answer was lost; the write may have taken effect."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """All rows below a prefix, at one revision of the service."""
+    """All rows below a prefix, at one revision of the store."""
 
     rows: tuple[Row, ...]
     revision: int
@@ -74,9 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Writes after the asked revision, oldest first.
+    """Writes after the requested revision, the oldest first.
 
-    `compacted` says that some are no longer known and a listing is needed.
+    `compacted` states that the store no longer has all of them, so that a listing is
+    needed.
     """
 
     changes: tuple[Change, ...]
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease of the key-value service; keys bound to it go when it lapses."""
+    """A lease of the store; the rows bound to it are deleted when it lapses."""
 
     lease: int
     ttl: float
@@ -101,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expect:
-    """A condition of a transaction: `key` is at `revision`, 0 for absent."""
+    """A condition of a transaction: `key` is at `revision`, where 0 means absent."""
 
     key: str
     revision: int
@@ -109,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """A write of a transaction; the row goes when `lease` ends, 0 for never."""
+    """A write of a transaction; the row is deleted when `lease` ends, 0 means never."""
 
     key: str
     value: bytes
@@ -118,12 +120,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Mismatch:
-    """A transaction whose conditions did not hold; nothing was written.
+    """The conditions of a transaction did not hold; nothing was written.
 
     Attributes
     ----------
     rows : dict of str to int
-        Revision of each expected key at that moment, 0 for absent.
+        Revision of each expected key at that moment, where 0 means absent.
     """
 
     rows: dict[str, int]
@@ -141,9 +143,10 @@
     def list(
         self, prefix: str, after: str = "", stale: bool = False
     ) -> Listing | Unavailable:
-        """Read all keys below `prefix` that sort behind `after`.
+        """Read all keys below `prefix` that sort after `after`.
 
-        A `stale` read may be seconds old and costs a tenth.
+        The result of a `stale` read may be out of date by seconds, and such a read
+        costs a tenth of another one.
         """
 
     def watch(self, prefix: str, after: int, timeout: float) -> Changes | Unavailable:
@@ -155,10 +158,10 @@
         puts: tuple[Put, ...] = (),
         deletes: tuple[str, ...] = (),
     ) -> TransactionOutcome:
-        """Write all of it if every condition holds, otherwise nothing."""
+        """Apply all writes and deletes if every condition holds, otherwise none."""
 
     def grant_lease(self, ttl: float) -> Lease | Unavailable | Uncertain:
-        """Ask for a lease of `ttl` seconds."""
+        """Request a lease of `ttl` seconds."""
 
     def renew_lease(self, lease: int) -> Lease | LeaseLost | Unavailable:
         """Renew a lease for its full term."""
@@ -168,14 +171,14 @@
 
 
 class RowSource(Protocol):
-    """What a mirror reads from."""
+    """The source of the rows of a mirror: the store, or a feed."""
 
     def list(self, prefix: str) -> Listing | Unavailable:
         """Read all rows below `prefix`."""
 
     def watch(self, prefix: str, after: int, timeout: float) -> Changes | Unavailable:
-        """Wait up to `timeout` seconds for changes behind a revision."""
+        """Wait up to `timeout` seconds for changes after a revision."""
 
     @property
     def age(self) -> float:
-        """Seconds by which the last answer was behind the store."""
+        """Time by which the last answer was behind the store, in seconds."""
--- a/src/wigeonfront/weights/fleet.py
+++ b/src/wigeonfront/weights/fleet.py
@@ -1,4 +1,4 @@
-"""The engines that one entry orders: a mover for each, as they come and go."""
+"""The engines that one entry orders, with a mover for each of them."""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping
@@ -24,10 +24,10 @@
 
 
 class EnginePlaces:
-    """Where each engine stands among those of its service, as of the last naming.
+    """The place of each engine in its service, as of the last named version.
 
-    A stale place does: an engine that is missing or counted too many shifts which half
-    loads, and nothing else.
+    A place may be out of date: a missing or surplus engine only changes which half of
+    the engines loads a version.
 
     Parameters
     ----------
@@ -46,26 +46,26 @@
         self._configuration = configuration
         self._places: Mapping[str, Mapping[str, Place]] = {}
 
-    def renew(self) -> None:
-        """Take the engines that are registered now."""
+    def refresh(self) -> None:
+        """Compute the places of the engines that are registered now."""
         configuration = self._configuration()
         services = configuration.services.values() if configuration else ()
         addresses: dict[str, list[str]] = {}
         for target in self._targets():
             addresses.setdefault(target.service, []).append(target.address)
         self._places = {
-            one.name: engine_places(addresses.get(one.name, ()), one.models)
-            for one in services
-            if one.models
+            service.name: engine_places(addresses.get(service.name, ()), service.models)
+            for service in services
+            if service.models
         }
 
     def of(self, target: Target) -> Place:
         """Return the place of an engine."""
-        found = self._places.get(target.service, {}).get(target.address)
-        if found is None:
-            self.renew()
-            found = self._places.get(target.service, {}).get(target.address)
-        return found or Place()
+        place = self._places.get(target.service, {}).get(target.address)
+        if place is None:
+            self.refresh()
+            place = self._places.get(target.service, {}).get(target.address)
+        return place or Place()
 
     def loading(self, named: NamedVersion) -> set[str]:
         """Return the addresses of the engines that load a version once it is named."""
@@ -82,7 +82,7 @@
     Parameters
     ----------
     name : str
-        Of this machine.
+        Name of this machine.
     supervisor : Supervisor
         Runs the movers.
     rights : Rights
@@ -93,7 +93,7 @@
     configuration : callable
         Returns the configuration in force, or ``None``.
     connect : callable
-        Returns the engine behind a registration.
+        Returns an `Engine` for a registered target.
     clock : Clock
     metrics : Registry
     """
@@ -121,22 +121,24 @@
         self._orders_given = order_counter(metrics)
         self.places = EnginePlaces(targets, configuration)
         self._holders = Holders()
-        self._mine: dict[str, bool] = {}
+        self._is_mine: dict[str, bool] = {}
         self._known: dict[str, Target] = {}
         self._movers: dict[str, WeightMover] = {}
 
     def update_assignment(self, assignment: Assignment) -> None:
-        """Take a newer row of holders."""
+        """Apply a newer assignment: start and stop movers as it requires."""
         self._rights.update_assignment(assignment)
         if assignment.holders != self._holders:
             self._holders = assignment.holders
-            self._mine = {}
+            self._is_mine = {}
         self.update()
 
     def update(self) -> None:
-        """Start and end movers as engines and holders are now."""
+        """Start and stop movers to match the present engines and holders."""
         self._known = {
-            target.id: target for target in self._targets() if self._orders(target)
+            target.id: target
+            for target in self._targets()
+            if self._orders_target(target)
         }
         for id in self._movers.keys() - self._known.keys():
             del self._movers[id]
@@ -146,21 +148,21 @@
             self._start(self._known[id])
 
     def version_named(self) -> None:
-        """Look at once which engines are to be moved."""
-        self.places.renew()
+        """Have all movers check at once whether their engine is to be moved."""
+        self.places.refresh()
         for mover in list(self._movers.values()):
             mover.wake()
 
-    def _orders(self, target: Target) -> bool:
-        """Tell whether this entry orders the target, and it is an engine."""
+    def _orders_target(self, target: Target) -> bool:
+        """Return whether the target is an engine that this entry orders."""
         configuration = self._configuration()
         service = configuration and configuration.services.get(target.service)
         if not service or not service.models:
             return False
-        if target.address not in self._mine:
+        if target.address not in self._is_mine:
             holder = self._holders.holder(target.address)
-            self._mine[target.address] = holder == self._name
-        return self._mine[target.address]
+            self._is_mine[target.address] = holder == self._name
+        return self._is_mine[target.address]
 
     def _start(self, target: Target) -> None:
         mover = WeightMover(
--- a/src/wigeonfront/weights/mover.py
+++ b/src/wigeonfront/weights/mover.py
@@ -1,4 +1,4 @@
-"""Gives one engine its orders."""
+"""Sends the orders to load new weights to one engine."""
 
 import logging
 import threading
@@ -22,38 +22,48 @@
 logger = logging.getLogger(__name__)
 
 ACCEPTED = "accepted"
-"""An engine's answer to an order that it carries out."""
+"""Answer of an engine that executes an order."""
 
 HELD = "held"
-"""An engine's answer to an order whose version it has already."""
+"""Answer of an engine that already has the version of an order."""
 
 BUSY_PAUSE_SECONDS = 0.1
-"""Pause between readings of an engine that loads, or did not answer: a ninth of a
-load."""
+"""Pause until the report of an engine that loads, or did not answer, is read again: a
+ninth of the duration of a load."""
 
 IDLE_PAUSE_SECONDS = 2.0
-"""Longest pause while nothing is to be moved; a newly named version ends it."""
+"""Longest pause while no order is due; a newly named version ends the pause."""
 
 RIGHT_PAUSE_SECONDS = 0.25
-"""Pause until it is looked again whether an order that is due may be given."""
+"""Pause until the next check whether this machine may give an order that is due."""
 
 RECHECK_SECONDS = 4.0
-"""Time, about that of a step, after which an engine that has moved is read again: it
-may have started anew, or carried out an earlier order late."""
+"""Time after which the report of an engine that has the named versions is read again,
+which is about the time of a step. The engine may have restarted, or may have executed
+an earlier order late."""
 
 
 class Engine(Protocol):
-    """An engine; the platform's adapter gives it."""
+    """An engine; the platform's adapter implements it."""
 
     def report(self) -> EngineReport | Unavailable:
-        """Return what the engine says of itself."""
+        """Return the state that the engine reports."""
 
     def move(self, order: MoveOrder, fence: int, expected: int) -> str:
-        """Give an order; return how the engine answered, for the log."""
+        """Send an order; return the answer of the engine, which is also logged.
+
+        Parameters
+        ----------
+        order : MoveOrder
+        fence : int
+            Fencing token.
+        expected : int
+            Number of orders that the engine must have accepted before this one.
+        """
 
 
 def order_counter(metrics: Registry) -> Counter:
-    """Return the counter of a process's orders."""
+    """Return the counter of the orders of a process."""
     return metrics.counter(
         "weight_orders_total", "Orders to engines by answer.", ("answer",)
     )
@@ -65,20 +75,20 @@
     Parameters
     ----------
     name : str
-        Of the engine, for the log.
+        Name of the engine for the log.
     engine : Engine
     named : callable
         Returns the newest named versions.
     fence : callable
-        Returns the fencing token for an order that is given at once, or ``None`` while
-        this machine has no right to give one.
+        Returns the fencing token for an order that is sent at once, or ``None`` while
+        this machine has no right to give orders.
     place : callable
-        Returns where the engine stands among those of its service.
+        Returns the place of the engine among those of its service.
     keep_runs : callable
-        Tells whether runs in progress may go on under new weights.
+        Returns whether runs in progress may continue under new weights.
     clock : Clock
     orders : wigeonfront.observability.metrics.Counter
-        Counts orders by answer, see `order_counter`.
+        Counter of orders by answer; see `order_counter`.
     """
 
     def __init__(
@@ -105,32 +115,38 @@
         self._orders = orders
 
     def wake(self) -> None:
-        """Look at once whether something is to be moved."""
+        """Have the mover check at once whether an order is due."""
         self._wake.set()
 
     def run(self, stop: threading.Event) -> None:
-        """Move the engine when it is due (a supervisor's task)."""
+        """Give the engine orders when they are due (a supervisor's task)."""
         while not stop.is_set():
             pause = self._step()
             self._wake.wait(pause)
             self._wake.clear()
 
-    def _has_moved(self, named: list[NamedVersion]) -> bool:
+    def _has_named_versions(self, named: list[NamedVersion]) -> bool:
         place = self._place()
         return all(
-            self._versions.get(one.model) == one.version
-            for one in named
-            if place.serves(one.model)
+            self._versions.get(newest.model) == newest.version
+            for newest in named
+            if place.serves(newest.model)
         )
 
     def _step(self) -> float:
-        """Read the engine and give an order if one is due; return the pause."""
+        """Read the report of the engine and give an order if one is due.
+
+        Returns
+        -------
+        float
+            Pause until the next step, in seconds.
+        """
         named = self._named()
         if not named:
             return IDLE_PAUSE_SECONDS
         now = self._clock.monotonic()
-        fresh = now - self._read_at < RECHECK_SECONDS
-        if fresh and self._has_moved(named):
+        recently_read = now - self._read_at < RECHECK_SECONDS
+        if recently_read and self._has_named_versions(named):
             return IDLE_PAUSE_SECONDS
         report = self._engine.report()
         if isinstance(report, Unavailable):
@@ -145,10 +161,10 @@
         fence = self._fence()
         if fence is None:
             return RIGHT_PAUSE_SECONDS
-        self._give(order, fence, report)
+        self._send_order(order, fence, report)
         return ORDER_SECONDS
 
-    def _give(self, order: MoveOrder, fence: int, report: EngineReport) -> None:
+    def _send_order(self, order: MoveOrder, fence: int, report: EngineReport) -> None:
         answer = self._engine.move(order, fence, report.orders)
         self._orders.increment(answer=answer)
         event(
--- a/src/wigeonfront/weights/plan.py
+++ b/src/wigeonfront/weights/plan.py
@@ -1,11 +1,11 @@
-"""When an engine is moved to another version of its weights; pure functions.
-
-A trainer names version k and asks for step k, whose samples may come from version
-k - 1. An engine therefore need not follow each version: it may skip every other one.
-The engines of a service are halved: one half follows the even versions, the other the
-odd ones, so that for each step half of the engines take samples at once while the
-others load, and each version costs half as many loads as there are engines. While an
-engine loads, it starts no sample of that model, but runs in progress go on.
+"""Rules for when an engine loads another version of its weights; pure functions.
+
+A trainer names version k and requests step k, whose samples may come from version
+k - 1. An engine therefore need not load each version and may skip every other one. One
+half of the engines of a service loads the even versions and the other half the odd
+versions. For each step, half of the engines accept samples at once while the others
+load, and each version costs half as many loads as there are engines. While an engine
+loads, it starts no sample of that model, but runs in progress continue.
 """
 
 import math
@@ -13,43 +13,48 @@
 from dataclasses import dataclass, field
 
 ALLOWED_LAG = 1
-"""Versions that an engine may be behind the newest and still serve the next step."""
+"""Number of versions that an engine may be behind the newest one and still serve the
+next step."""
 
 SPREAD_SECONDS = 0.9
-"""Time between the loads of two engines of the same half, which is what a load takes:
-a service has few free places for loads, and more at once slow each other down."""
+"""Time between the loads of two engines of the same half, which is the duration of a
+load. A service has capacity for few loads at once; more of them slow each other
+down."""
 
 MAX_SPREAD_SECONDS = 2.0
-"""Longest time by which a load is put off for others: half of the time of a step."""
+"""Longest time by which a load is delayed for other loads: half of the time of a
+step."""
 
 LOAD_SHARE = 0.4
-"""Share of a service's engines that load together without slowing each other down."""
+"""Share of the engines of a service that can load at the same time without slowing
+each other down."""
 
 MODELS_PER_ENGINE = 2
-"""Models whose versions one engine follows. Following every other version of two models
-costs as many loads as following every version of one, which is each engine's part; an
-engine that follows all of four loads half of the time."""
+"""Number of models whose versions one engine follows. An engine that loads every other
+version of two models has as many loads as one that loads every version of one model,
+which is the share of each engine. An engine that followed all of four models would
+load for half of the time."""
 
 ORDER_SECONDS = 0.6
-"""Time after an order without an effect before it is given again; an order that was
-not answered may still be carried out, and its expected number keeps it from following
-a newer one."""
+"""Time after which an order without an effect is given again. An order that was not
+answered may still be executed later; the number of accepted orders that it expects
+prevents that it is executed after a newer one."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself.
+    """The state that an engine reports.
 
     Attributes
     ----------
     versions : mapping of str to int
-        Version of each model.
+        Version of the weights by model.
     loading : bool
-        An order is in progress.
+        Whether the engine executes an order.
     orders : int
-        Orders that it has accepted since its start.
+        Number of orders that it has accepted since its start.
     running, waiting : int
-        Requests.
+        Numbers of running and queued requests.
     draining : bool
     """
 
@@ -80,15 +85,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveOrder:
-    """An order to be given now.
+    """An order to load a version, which is to be given now.
 
     Attributes
     ----------
     model : str
     version : int
     reason : str
+        Reason for the log.
     keep_runs : bool
-        Runs in progress go on under the new weights; else they end first.
+        Whether runs in progress continue under the new weights; otherwise the engine
+        finishes them first.
     """
 
     model: str
@@ -99,15 +106,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where an engine stands among those of its service.
+    """The place of an engine among those of its service.
 
     Attributes
     ----------
     rank : int
-        From 0, in an order that all agree on.
+        Index of the engine, from 0, in an order that is the same in all processes.
     count : int
+        Number of engines of the service.
     models : tuple of str
-        Models of the service, in an order that all agree on.
+        Models of the service in an order that is the same in all processes.
     """
 
     rank: int = 0
@@ -118,13 +126,14 @@
     def _divided(self) -> bool:
         """Whether the models are divided among the engines.
 
-        Each model must still have engines in both halves, so few engines serve all.
+        Each model needs engines in both halves, so where there are few engines, each
+        one serves all models.
         """
         total = len(self.models)
         return total > MODELS_PER_ENGINE and self.count >= 2 * total
 
     def serves(self, model: str) -> bool:
-        """Tell whether an engine at this place follows the versions of `model`."""
+        """Return whether an engine at this place follows the versions of `model`."""
         total = len(self.models)
         if model not in self.models or not self._divided:
             return True
@@ -132,34 +141,37 @@
         return offset < MODELS_PER_ENGINE
 
     def follows(self, version: int) -> bool:
-        """Tell whether an engine at this place loads `version` without need."""
+        """Return whether an engine at this place loads `version` without needing it."""
         half = self.rank // len(self.models) if self._divided else self.rank
         return self.count > 1 and version % 2 == half % 2
 
     @property
     def load_delay(self) -> float:
-        """Seconds after a naming at which an engine at this place loads."""
-        at_once = max(1, int(LOAD_SHARE * self.count))
-        turn = self.rank // 2 // at_once
+        """Time from the naming of a version until an engine at this place loads it.
+
+        In seconds.
+        """
+        parallel_loads = max(1, int(LOAD_SHARE * self.count))
+        turn = self.rank // 2 // parallel_loads
         return min(turn * SPREAD_SECONDS, MAX_SPREAD_SECONDS)
 
 
 def engine_places(
     addresses: Collection[str], models: Collection[str]
 ) -> dict[str, Place]:
-    """Return where each engine of a service stands, by its address.
+    """Return the place of each engine of a service, by address.
 
     Parameters
     ----------
     addresses : collection of str
-        Of all engines of the service; one may stand twice.
+        Addresses of all engines of the service, in which an address may occur twice.
     models : collection of str
         Models of the service.
     """
     ordered = sorted(set(addresses))
-    agreed = tuple(sorted(models))
+    sorted_models = tuple(sorted(models))
     return {
-        address: Place(rank, len(ordered), agreed)
+        address: Place(rank, len(ordered), sorted_models)
         for rank, address in enumerate(ordered)
     }
 
@@ -180,17 +192,19 @@
     place: Place,
     keep_runs: bool = True,
 ) -> MoveOrder | None:
-    """Return the order that an engine should get now, if any.
+    """Return the order that an engine should get now, or ``None``.
 
     Parameters
     ----------
+    report : EngineReport
     named : list of NamedVersion
-        The newest of each model.
+        The newest version of each model.
     now : float
         Monotonic time.
     place : Place
     keep_runs : bool
-        Samples may come from several versions.
+        Whether a sample may be generated under several versions, so that runs in
+        progress may continue.
     """
     if report.loading or report.draining:
         return None
@@ -205,9 +219,10 @@
 
 
 def next_due(report: EngineReport, named: list[NamedVersion], place: Place) -> float:
-    """Return the monotonic time at which the next order is due; infinite for none.
+    """Return the monotonic time at which the next order is due.
 
-    An engine that loads is to be looked at again at once.
+    Positive infinity where no order is due, and negative infinity while the engine
+    loads, as its report is to be read again at once.
     """
     if report.loading:
         return -math.inf
@@ -224,8 +239,12 @@
 def _behind(
     report: EngineReport, named: list[NamedVersion], place: Place
 ) -> list[NamedVersion]:
-    """Return the versions that an engine lacks, of the models that it follows."""
-    return [newer for newer in named if _lag(report, newer) > 0 and place.serves(newer.model)]
+    """Return the versions that an engine lacks among the models that it follows."""
+    return [
+        newer
+        for newer in named
+        if _lag(report, newer) > 0 and place.serves(newer.model)
+    ]
 
 
 def _lag(report: EngineReport, named: NamedVersion) -> int:
@@ -233,5 +252,5 @@
 
 
 def _wanted(report: EngineReport, named: NamedVersion, place: Place) -> bool:
-    """Tell whether an engine is to load a version, at once or in its turn."""
+    """Return whether an engine is to load a version, at once or after its delay."""
     return _lag(report, named) > ALLOWED_LAG or place.follows(named.version)
--- a/src/wigeonfront/weights/remote.py
+++ b/src/wigeonfront/weights/remote.py
@@ -1,7 +1,8 @@
 """An engine on another machine, as a `weights.mover.Engine`.
 
-Its registration tells its weights, late but for nothing; its report, a call, is
-read only for the number of orders that it has accepted.
+The registration of the engine shows the versions of its weights. It is late, but it
+costs no call. The report of the engine costs a call and is read only for the number of
+orders that the engine has accepted.
 """
 
 from collections.abc import Callable
@@ -14,31 +15,34 @@
 from wigeonfront.weights.plan import EngineReport, MoveOrder
 
 ASSUMED_SECONDS = 5.0
-"""How long an engine is taken to have the version that it was ordered to, until its
-registration shows it: a load and the way of a registration to this process."""
+"""Time for which an engine is assumed to have the version of its last order before its
+registration shows that version: the duration of a load, and the delay until this
+process learns of the registration."""
 
 LOAD_SECONDS = 0.9
-"""How long an engine is taken to load; it refuses another order meanwhile."""
+"""Time for which an engine is assumed to load after an order; it refuses other orders
+in this time."""
 
 BUSY_SECONDS = 0.3
-"""Pause until an engine that said that it loads is asked again: a third of a load."""
+"""Time for which an engine that reported a load is assumed to load: a third of the
+duration of a load."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Assumed:
+class _AssumedVersion:
     version: int
     until: float
 
 
 class RemoteEngine:
-    """The engine that is registered as a target.
+    """An engine that is registered as a target.
 
     Parameters
     ----------
     engine : Engine
-        Reads it and gives orders over the network.
+        Reads the engine's report and sends it orders over the network.
     target : callable
-        Returns its registration, or ``None`` once it is gone.
+        Returns the registration of the engine, or ``None`` once it is gone.
     clock : Clock
     """
 
@@ -48,29 +52,29 @@
         self._engine = engine
         self._target = target
         self._clock = clock
-        # Orders that it has accepted; None while unknown.
+        # Number of orders that the engine has accepted; None while unknown.
         self._orders: int | None = None
-        self._assumed: dict[str, _Assumed] = {}
+        self._assumed: dict[str, _AssumedVersion] = {}
         self._loading_until = 0.0
 
     def report(self) -> EngineReport | Unavailable:
-        """Return what is known of the engine; ask it only where that is too little."""
+        """Return the state of the engine; call the engine only where it is unknown."""
         target = self._target()
         if target is None:
             return Unavailable("not registered")
         now = self._clock.monotonic()
-        if self._orders is None or self._unconfirmed(target, now):
+        if self._orders is None or self._has_overdue_version(target, now):
             return self._read(target)
         return EngineReport(
             versions=dict(target.versions)
-            | {model: one.version for model, one in self._assumed.items()},
+            | {model: assumed.version for model, assumed in self._assumed.items()},
             loading=now < self._loading_until,
             orders=self._orders,
             draining=target.draining,
         )
 
     def move(self, order: MoveOrder, fence: int, expected: int) -> str:
-        """Give an order; return how the engine answered."""
+        """Send an order; return the answer of the engine."""
         answer = self._engine.move(order, fence, expected)
         now = self._clock.monotonic()
         if answer == ACCEPTED:
@@ -78,23 +82,23 @@
             self._loading_until = now + LOAD_SECONDS
         if answer in (ACCEPTED, HELD):
             until = now + ASSUMED_SECONDS
-            self._assumed[order.model] = _Assumed(order.version, until)
+            self._assumed[order.model] = _AssumedVersion(order.version, until)
         else:
             self._orders = None
         return answer
 
-    def _unconfirmed(self, target: Target, now: float) -> bool:
-        """Tell whether an ordered version should be there by now, and is not.
+    def _has_overdue_version(self, target: Target, now: float) -> bool:
+        """Return whether the registration lacks a version that it should show by now.
 
-        What the registration confirms is assumed no longer.
+        Versions that the registration shows are no longer assumed.
         """
-        late = False
-        for model, one in list(self._assumed.items()):
-            if target.versions.get(model, 0) >= one.version:
+        overdue = False
+        for model, assumed in list(self._assumed.items()):
+            if target.versions.get(model, 0) >= assumed.version:
                 del self._assumed[model]
-            elif now >= one.until:
-                late = True
-        return late
+            elif now >= assumed.until:
+                overdue = True
+        return overdue
 
     def _read(self, target: Target) -> EngineReport | Unavailable:
         report = self._engine.report()
@@ -106,7 +110,7 @@
         if report.loading:
             self._loading_until = now + BUSY_SECONDS
         self._assumed = {
-            model: _Assumed(version, until)
+            model: _AssumedVersion(version, until)
             for model, version in report.versions.items()
         }
         return replace(report, draining=report.draining or target.draining)
--- a/tests/rows_fakes.py
+++ b/tests/rows_fakes.py
@@ -1,4 +1,4 @@
-"""Small parts that tests of the platform path share."""
+"""Helpers that the tests of several parts share."""
 
 import itertools
 import os
@@ -18,14 +18,14 @@
 
 
 def _host(number):
-    # Apart for each process: a port that was free may otherwise be taken, by another
-    # process or as the near end of a connection, before the test listens on it.
+    # Each process uses other addresses. Otherwise a free port may be taken before the
+    # test listens on it, by another process or as the local port of a connection.
     high, low = divmod(os.getpid(), 250)
     return f"127.{low + 1}.{high % 250 + 1}.{number}"
 
 
 def loopback_host():
-    """Return a loopback address that no other process uses, and no test beside."""
+    """Return a loopback address that no other process or concurrent test uses."""
     return _host(next(_hosts) % 200 + 1)
 
 
@@ -35,22 +35,22 @@
 
 
 def wait_for(condition, seconds=5.0):
-    """Wait until `condition` holds; fail the test if it never does."""
+    """Return the true result of `condition` once it holds; fail after `seconds`."""
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
-        found = condition()
-        if found:
-            return found
+        result = condition()
+        if result:
+            return result
         time.sleep(0.01)
-    raise AssertionError(f"not within {seconds} s")
+    raise AssertionError(f"the condition did not hold within {seconds} s")
 
 
 def make_lot(id="lot-1", samples=3, **fields):
-    made = tuple(
+    lot_samples = tuple(
         Sample(f"{id}-s{n}", "/lots-in/x", (("X-A", "1"),), b"body%d" % n, f"g{n // 2}")
         for n in range(samples)
     )
-    return Lot(id, "h.example", "/lots-in/", made, **fields)
+    return Lot(id, "h.example", "/lots-in/", lot_samples, **fields)
 
 
 def make_store():
@@ -58,7 +58,7 @@
 
 
 def make_forwarder_by(exchange, clock, targets, failure_domain, guard=NO_GUARD):
-    """Return a forwarder over `exchange`, with its targets and its metrics."""
+    """Return a forwarder over `exchange`, its target table and its metrics."""
     table = TargetTable(clock, random.Random(1))
     table.replace(targets)
     registry = Registry()
--- a/tests/test_assignment_machine.py
+++ b/tests/test_assignment_machine.py
@@ -1,7 +1,8 @@
-"""A random walk over the holders of orders: each engine judges what it gets.
+"""A random walk over the holders of engines, with a check of the orders of each engine.
 
-Entries may believe anything of who lives, hear of the row late, be cut off, start again
-or write without an answer; orders and reads take their time.
+Entries may have any view of which processes are live. They may learn of the row late,
+be cut off from the store, restart, or get no answer to a write. Orders and reads are
+delayed.
 """
 
 import itertools
@@ -35,7 +36,7 @@
 
 
 class SlowStore:
-    """The store as one machine reaches it."""
+    """The store as one machine reaches it: delayed, cut off, or with a lost answer."""
 
     def __init__(self, rows, clock):
         self.rows = rows
@@ -59,7 +60,7 @@
         if self.cut:
             return Unavailable("cut")
         if self.lose:
-            # It may be done seconds later, if its condition still holds.
+            # The write may be executed seconds later if its condition still holds.
             self.lose = False
             self.late.append((expected, puts))
             return Uncertain("lost")
@@ -71,32 +72,34 @@
 
 
 class Machine:
-    """A process of a machine, with what it last heard."""
+    """A process of a machine, with its keeper and its rights."""
 
     def __init__(self, name, rows, clock):
         self.name = name
         self.store = SlowStore(rows, clock)
-        self.present = None
+        self.view = None
         is_side = name in SIDES.values()
         term = PINNED_TERM_SECONDS if is_side else TERM_SECONDS
-        self.rights = Rights(self.store, name, term, clock, receives_updates=not is_side)
+        self.rights = Rights(
+            self.store, name, term, clock, receives_updates=not is_side
+        )
         self.keeper = AssignmentKeeper(
             self.store,
             name,
-            lambda: self.present,
+            lambda: self.view,
             ORDER_SECONDS,
             clock,
             self.rights.update_assignment,
         )
 
     def hear(self, row):
-        heard = decode_assignment(row.value, row.revision)
-        self.keeper.update_assignment(heard)
-        self.rights.update_assignment(heard)
+        assignment = decode_assignment(row.value, row.revision)
+        self.keeper.update_assignment(assignment)
+        self.rights.update_assignment(assignment)
 
 
 class AssignmentWalk(RuleBasedStateMachine):
-    """Machines order engines as their rights let them."""
+    """Machines order engines whenever their rights permit it."""
 
     def __init__(self):
         super().__init__()
@@ -104,7 +107,7 @@
         self.rows = MemoryRows()
         self.machines = {name: self.start(name) for name in MACHINES}
         self.history = []
-        # Arrival, machine and token of each order, by engine.
+        # Arrival time, machine and fencing token of each order, by engine.
         self.orders = {engine: [] for engine in ENGINES}
 
     def start(self, name):
@@ -120,7 +123,7 @@
         self.clock.advance(seconds)
 
     @rule(name=st.sampled_from(MACHINES))
-    def process_starts_again(self, name):
+    def process_restarts(self, name):
         late = self.machines[name].store.late
         self.machines[name] = self.start(name)
         self.machines[name].store.late = late
@@ -134,7 +137,7 @@
         self.machines[name].store.lose = True
 
     @rule(name=st.sampled_from(ENTRIES))
-    def late_write_is_done(self, name):
+    def late_write_is_executed(self, name):
         self.machines[name].store.deliver()
 
     @rule(
@@ -144,34 +147,34 @@
         seen=st.booleans(),
     )
     def entry_believes(self, name, entries, pinned, seen):
-        """Whoever it does not see it takes to be gone for long."""
+        """The entry takes each process that it does not see to be gone for long."""
         machine = self.machines[name]
         if not seen:
-            machine.present = None
+            machine.view = None
             return
         registered = {SIDES[address]: address for address in pinned}
         gone = set(MACHINES) - set(entries) - registered.keys()
-        long = max(ABSENT_SECONDS, PINNED_ABSENT_SECONDS)
-        machine.present = MembershipView(
+        long_absence = max(ABSENT_SECONDS, PINNED_ABSENT_SECONDS)
+        machine.view = MembershipView(
             entries=frozenset(entries),
             staying=frozenset(entries),
             pinned={address: side for side, address in registered.items()},
             subjects=frozenset(ENGINES),
-            absent=dict.fromkeys(gone, long),
+            absent=dict.fromkeys(gone, long_absence),
         )
 
     @rule(name=st.sampled_from(ENTRIES))
-    def entry_looks_after_the_row(self, name):
-        """It finds a change due, and nobody else writes it for a while."""
+    def entry_updates_the_row(self, name):
+        """The entry finds a change due that no other entry writes for a while."""
         machine = self.machines[name]
         machine.keeper.write_if_due()
-        if machine.present is not None:
-            self.clock.advance(2.0 + writer_pause(name, machine.present.staying))
+        if machine.view is not None:
+            self.clock.advance(2.0 + writer_pause(name, machine.view.staying))
             machine.keeper.write_if_due()
         self.note_row()
 
     @rule(name=st.sampled_from(ENTRIES), data=st.data())
-    def entry_hears_of_a_row(self, name, data):
+    def entry_learns_of_a_row(self, name, data):
         self.note_row()
         if self.history:
             self.machines[name].hear(data.draw(st.sampled_from(self.history)))
@@ -192,7 +195,7 @@
             self.orders[engine].append((arrival, name, fence))
 
     @invariant()
-    def orders_of_two_machines_keep_apart(self):
+    def orders_of_two_machines_are_separated(self):
         for orders in self.orders.values():
             arrived = sorted(orders)
             for earlier, later in itertools.pairwise(arrived):
@@ -203,8 +206,8 @@
                     assert earlier[2] < later[2]
 
     def teardown(self):
-        """Once all live and hear each other, each engine has one holder."""
-        present = MembershipView(
+        """Check that each engine has one holder once all machines are connected."""
+        view = MembershipView(
             entries=frozenset(ENTRIES),
             staying=frozenset(ENTRIES),
             pinned=SIDES,
@@ -213,7 +216,7 @@
         for name in ENTRIES:
             machine = self.machines[name]
             machine.store.deliver()
-            machine.present = present
+            machine.view = view
         for machine in self.machines.values():
             machine.store.cut = machine.store.lose = False
             machine.store.before = machine.store.after = 0.0
@@ -244,20 +247,20 @@
 @pytest.mark.parametrize(
     ("name", "value", "engine", "gone"),
     [
-        # An engine goes to another entry at once.
+        # An engine moves to another entry without a wait.
         ("FLIGHT_SECONDS", -ORDER_SECONDS, "c:1", "entry"),
-        # The longer term of a side is not waited for.
+        # The change does not wait for the longer term of a side.
         ("PINNED_TERM_SECONDS", 0.0, "a:1", "s1"),
     ],
 )
-def test_a_wait_that_is_too_short_is_found(name, value, engine, gone, monkeypatch):
-    """A walk in which one holder is taken to be gone, and lives on unheard."""
+def test_walk_detects_a_wait_that_is_too_short(name, value, engine, gone, monkeypatch):
+    """One holder is taken to be gone, but it still runs and is unaware of it."""
     monkeypatch.setattr(assignment, name, value)
     walk = AssignmentWalk()
     writer = walk.machines["e1"]
     everyone = frozenset(ENTRIES)
-    writer.present = MembershipView(everyone, everyone, SIDES, frozenset(ENGINES))
-    walk.entry_looks_after_the_row("e1")
+    writer.view = MembershipView(everyone, everyone, SIDES, frozenset(ENGINES))
+    walk.entry_updates_the_row("e1")
     row = walk.history[-1]
     holder = decode_assignment(row.value, row.revision).holder(engine)
     for machine in (holder, "e1"):
@@ -270,13 +273,13 @@
     absent = {lost: PINNED_ABSENT_SECONDS}
     survivor = min(left)
     walk.machines[survivor].hear(row)
-    present = MembershipView(left, left, sides, frozenset(ENGINES), absent)
-    walk.machines[survivor].present = present
+    view = MembershipView(left, left, sides, frozenset(ENGINES), absent)
+    walk.machines[survivor].view = view
     walk.machines[survivor].keeper.write_if_due()
     walk.clock.advance(1.0 + writer_pause(survivor, left))
     walk.machine_orders(lost, engine, 0.0, 0.0, 0.0)
     walk.machines[survivor].keeper.write_if_due()
-    found = False
+    detected = False
     for _ in range(30):
         walk.clock.advance(0.2)
         walk.machines[survivor].keeper.write_if_due()
@@ -286,7 +289,7 @@
         for machine in (lost, *left):
             walk.machine_orders(machine, engine, 0.0, 0.0, 0.0)
         try:
-            walk.orders_of_two_machines_keep_apart()
+            walk.orders_of_two_machines_are_separated()
         except AssertionError:
-            found = True
-    assert found
+            detected = True
+    assert detected
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Processes that live: registration, its lease's terms, and what is lost."""
+"""The registration of live processes: the terms of its lease, and its loss."""
 
 import threading
 
@@ -50,14 +50,14 @@
         thread.join()
 
 
-def made(rows, clock=None, **options):
+def make_registration(rows, clock=None, **options):
     options = {"term": TERM, "clock": clock or SystemClock()} | options
     return Registration(rows, "n1", "127.0.0.1:1", **options)
 
 
-def test_a_process_is_registered_until_it_stops(rows):
+def test_process_is_registered_until_it_stops(rows):
     stop = threading.Event()
-    registration = made(rows, failure_domain="z1", cores=2.0)
+    registration = make_registration(rows, failure_domain="z1", cores=2.0)
     thread = threading.Thread(target=registration.run, args=(stop,))
     thread.start()
     wait_for(lambda: registration.registered)
@@ -71,32 +71,35 @@
     assert isinstance(row_of(rows), Absent)
 
 
-def test_a_lasting_row_outlives_the_lease(rows, running):
-    registration = running(made(rows, lasting_prefix=DISK_PREFIX))
+def test_lasting_row_outlives_the_lease(rows, running):
+    registration = running(make_registration(rows, lasting_prefix=DISK_PREFIX))
     rows.revoke_lease(registration._lease)
     assert isinstance(row_of(rows), Absent)
     row = rows.get(DISK_PREFIX + "n1")
     assert decode_member(row, DISK_PREFIX) == registration.member
 
 
-def test_each_start_is_another_incarnation(rows):
-    assert made(rows).member.incarnation != made(rows).member.incarnation
+def test_each_start_has_another_incarnation(rows):
+    assert (
+        make_registration(rows).member.incarnation
+        != make_registration(rows).member.incarnation
+    )
 
 
-def test_a_lost_lease_is_followed_by_a_new_registration(rows, running):
-    told = []
+def test_lost_lease_is_followed_by_a_new_registration(rows, running):
+    registered = []
     registration = running(
-        made(rows, term=0.3, on_registered=lambda: told.append(True))
+        make_registration(rows, term=0.3, on_registered=lambda: registered.append(True))
     )
     rows.revoke_lease(registration._lease)
     assert isinstance(row_of(rows), Absent)
     wait_for(lambda: isinstance(row_of(rows), Row))
-    wait_for(lambda: len(told) == 2)
+    wait_for(lambda: len(registered) == 2)
 
 
-def test_a_presence_lasts_as_long_as_the_lease_surely_does(rows):
+def test_presence_lasts_as_long_as_the_lease_is_certainly_valid(rows):
     clock = ManualClock(100.0)
-    registration = made(rows, clock)
+    registration = make_registration(rows, clock)
     assert registration.presence == Presence()
     registration._register()
     first = registration.presence
@@ -108,18 +111,18 @@
     registration._renew()
     assert registration.presence.until == 101.0 + TERM
     rows.faults.down = False
-    # Another term: the row was never missing.
+    # A new lease before the old one lapses: the row was never missing.
     registration._register()
     assert registration.presence == Presence(first.since_revision, 101.0 + TERM)
-    # It may have been.
+    # The old lease has lapsed, so the row may have been missing.
     clock.advance(TERM)
     registration._register()
     assert registration.presence == Presence(rows.revision, 103.0 + TERM)
     assert rows.revision > first.since_revision
 
 
-def test_a_lease_that_is_lost_or_a_row_that_is_missed_ends_a_presence(rows):
-    registration = made(rows, ManualClock(100.0))
+def test_lost_lease_or_missing_row_ends_the_presence(rows):
+    registration = make_registration(rows, ManualClock(100.0))
     registration._register()
     rows.revoke_lease(registration._lease)
     registration._renew()
@@ -129,31 +132,31 @@
     assert registration.presence == Presence()
 
 
-def test_a_row_that_is_missed_during_a_renewal_ends_the_presence(rows):
-    registration = made(rows, ManualClock(100.0))
+def test_row_found_missing_during_a_renewal_ends_the_presence(rows):
+    registration = make_registration(rows, ManualClock(100.0))
     registration._register()
-    renew = rows.renew_lease
+    renew_lease = rows.renew_lease
 
-    def renew_and_miss(lease):
+    def find_missing_and_renew(lease):
         registration.restore()
-        return renew(lease)
+        return renew_lease(lease)
 
-    rows.renew_lease = renew_and_miss
+    rows.renew_lease = find_missing_and_renew
     registration._renew()
     assert registration.presence == Presence()
 
 
-def test_a_missing_row_is_written_again_when_it_is_noticed(rows, running):
-    registration = running(made(rows, term=0.3))
+def test_missing_row_is_written_again_once_noticed(rows, running):
+    registration = running(make_registration(rows, term=0.3))
     rows.write((), (), (ENTRY_PREFIX + "n1",))
     registration.restore()
     wait_for(lambda: isinstance(row_of(rows), Row))
 
 
-def test_registering_goes_on_through_an_outage(rows):
+def test_registration_is_retried_through_an_outage(rows):
     rows.faults.down = True
     stop = threading.Event()
-    registration = made(rows)
+    registration = make_registration(rows)
     thread = threading.Thread(target=registration.run, args=(stop,))
     thread.start()
     assert not registration.registered
@@ -163,10 +166,10 @@
     thread.join()
 
 
-def test_one_that_is_not_registered_tries_again_as_if_it_were_busy(rows):
+def test_unregistered_idle_process_retries_at_the_busy_interval(rows):
     rows.faults.down = True
     pauses = []
-    registration = made(rows, busy=lambda: False)
+    registration = make_registration(rows, busy=lambda: False)
     registration._wait = lambda stop, pause: (
         pauses.append(pause) or (len(pauses) == 20 and stop.set())
     )
@@ -174,10 +177,10 @@
     assert max(pauses) == TERM / RENEWALS_PER_LEASE
 
 
-def test_a_lease_gets_longer_once_there_is_long_nothing_to_take_over():
+def test_lease_gets_longer_after_a_long_time_without_work():
     clock = ManualClock(100.0)
     busy = [False]
-    registration = made(MemoryRows(), clock=clock, busy=lambda: busy[0])
+    registration = make_registration(MemoryRows(), clock=clock, busy=lambda: busy[0])
     assert registration._wanted_term() == IDLE_TERM_SECONDS
     busy[0] = True
     assert registration._wanted_term() == TERM
@@ -188,36 +191,36 @@
     assert registration._wanted_term() == IDLE_TERM_SECONDS
 
 
-def test_a_process_that_gets_work_has_the_short_lease_at_once(rows, running):
+def test_process_that_gets_work_has_the_short_lease_at_once(rows, running):
     busy = [False]
-    registration = running(made(rows, busy=lambda: busy[0]))
+    registration = running(make_registration(rows, busy=lambda: busy[0]))
     assert registration._term == IDLE_TERM_SECONDS
     busy[0] = True
     wait_for(lambda: registration._term == TERM, seconds=2.0)
 
 
-@pytest.mark.parametrize(("term", "most"), [(TERM, 12), (IDLE_TERM_SECONDS, 6)])
-def test_an_outage_costs_few_calls_and_its_end_is_noticed_in_time(term, most):
-    """Hundreds of processes lose the store at the same moment."""
-    at, calls = 0.0, 0
-    while at < 6.0:
+@pytest.mark.parametrize(("term", "max_calls"), [(TERM, 12), (IDLE_TERM_SECONDS, 6)])
+def test_outage_costs_few_calls_and_its_end_is_noticed_in_time(term, max_calls):
+    """In an outage, hundreds of processes lose the store at the same moment."""
+    elapsed, calls = 0.0, 0
+    while elapsed < 6.0:
         calls += 1
         pause = renewal_pause(term, calls)
         assert pause <= term / RENEWALS_PER_LEASE
-        at += pause
-    assert calls <= most
+        elapsed += pause
+    assert calls <= max_calls
 
 
-def test_a_lease_that_was_renewed_is_renewed_with_two_tries_to_spare():
+def test_renewals_leave_two_attempts_to_spare():
     assert renewal_pause(TERM, 0) == TERM / RENEWALS_PER_LEASE
     assert renewal_pause(TERM, 10_000) == TERM / RENEWALS_PER_LEASE
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff", b"[]", b'{"incarnation": 1}'])
-def test_a_malformed_row_is_no_member(value):
+def test_malformed_row_is_no_member(value):
     assert decode_member(Row(ENTRY_PREFIX + "n1", value, 1)) is None
 
 
-def test_a_row_of_an_older_process_is_read():
+def test_row_with_unknown_and_missing_fields_is_read():
     value = b'{"incarnation": "i", "address": "a:1", "later": 1}'
     assert decode_member(Row(ENTRY_PREFIX + "n1", value, 1)) == Member("n1", "i", "a:1")
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -1,3 +1,5 @@
+"""Mirrors of rows, the feeds that serve them, and the choice of feed sources."""
+
 import threading
 from collections import Counter
 
@@ -33,7 +35,7 @@
     return mirror
 
 
-def direct(store, **fields):
+def make_mirror(store, **fields):
     return Mirror(DirectRows(store), PREFIX, SystemClock(), wait=0.2, **fields)
 
 
@@ -41,10 +43,10 @@
     return {key: row.value for key, row in mirror.state().rows.items()}
 
 
-def test_a_mirror_follows_writes_and_deletions(running):
+def test_mirror_follows_writes_and_deletions(running):
     store = make_store()
     store.put("op/a", b"1")
-    mirror = start(direct(store), running)
+    mirror = start(make_mirror(store), running)
     wait_for(lambda: values(mirror) == {"op/a": b"1"})
     store.put("op/b", b"2")
     store.put("other/c", b"3")
@@ -52,11 +54,11 @@
     wait_for(lambda: values(mirror) == {"op/b": b"2"})
 
 
-def test_a_deletion_in_history_that_is_gone_is_found_by_a_listing(running):
+def test_listing_finds_a_deletion_in_compacted_history(running):
     store = make_store()
     store.put("op/a", b"1")
     store.put("op/b", b"1")
-    mirror = start(direct(store), running)
+    mirror = start(make_mirror(store), running)
     wait_for(lambda: len(values(mirror)) == 2)
     store.faults.down = True
     wait_for(lambda: mirror.failing)
@@ -68,44 +70,44 @@
     assert not mirror.failing
 
 
-def test_rows_stay_through_an_outage(running):
+def test_rows_are_kept_through_an_outage(running):
     store = make_store()
     store.put("op/a", b"1")
-    mirror = start(direct(store), running)
+    mirror = start(make_mirror(store), running)
     wait_for(lambda: mirror.ready)
     store.faults.down = True
     wait_for(lambda: mirror.failing)
     assert values(mirror) == {"op/a": b"1"}
 
 
-def test_an_outage_is_not_answered_with_many_calls(running):
+def test_outage_causes_few_calls(running):
     store = make_store()
     store.faults.down = True
-    start(direct(store), running)
+    start(make_mirror(store), running)
     running.wait(1.5)
     assert store.faults.calls < 6
 
 
-class OldListing:
-    """A source whose listings are older than what its watch has told."""
+class OutdatedSource:
+    """A source whose listings are older than the changes of its watch."""
 
     age = 0.0
 
     def __init__(self, store):
         self.store = store
-        self.old = store.list(PREFIX)
+        self.outdated = store.list(PREFIX)
 
     def list(self, prefix):
-        return self.old
+        return self.outdated
 
     def watch(self, prefix, after, timeout):
         return Changes((), after, compacted=True)
 
 
-def test_a_mirror_never_goes_back_to_an_older_listing(running):
+def test_mirror_ignores_a_listing_older_than_its_rows(running):
     store = make_store()
     store.put("op/a", b"old")
-    source = OldListing(store)
+    source = OutdatedSource(store)
     mirror = Mirror(source, PREFIX, SystemClock(), wait=0.01)
     mirror._list()
     store.put("op/a", b"new")
@@ -116,22 +118,22 @@
     assert values(mirror) == {"op/a": b"new"}
 
 
-def test_followers_get_changes_or_are_told_to_list_anew():
+def test_followers_get_changes_or_must_list_again():
     store = make_store()
-    mirror = direct(store)
+    mirror = make_mirror(store)
     store.put("op/a", b"1")
     mirror._list()
     listed = mirror.state().revision
     assert mirror.changes_after(listed, 0.0) == Changes((), listed)
     store.put("op/b", b"2")
     mirror._watch()
-    found = mirror.changes_after(listed, 0.0)
-    assert [change.key for change in found.changes] == ["op/b"]
+    newer = mirror.changes_after(listed, 0.0)
+    assert [change.key for change in newer.changes] == ["op/b"]
     assert mirror.changes_after(listed - 1, 0.0).compacted
 
 
 class SkippingClock(SystemClock):
-    """The machine's clock, which can be set forward."""
+    """The clock of the machine, which can be set forward."""
 
     skipped = 0.0
 
@@ -157,7 +159,7 @@
     return Mirror(rows, PREFIX, SystemClock(), wait=0.05)
 
 
-def test_a_follower_makes_no_call_to_the_store(fed):
+def test_follower_makes_no_call_to_the_store(fed):
     store, mirror, address, _ = fed
     store.put("op/a", b"1")
     mirror._list()
@@ -169,7 +171,7 @@
     assert store.faults.calls == calls
 
 
-def test_a_follower_leaves_a_source_that_is_cut_off(fed):
+def test_follower_leaves_a_source_that_is_cut_off(fed):
     store, mirror, address, clock = fed
     store.put("op/a", b"1")
     mirror._list()
@@ -181,7 +183,7 @@
     assert values(follower) == {"op/a": b"2"}
 
 
-def test_a_follower_leaves_a_source_that_is_gone():
+def test_follower_leaves_a_source_that_is_gone():
     store = make_store()
     store.put("op/a", b"1")
     follower = follow(store, [free_address()])
@@ -189,7 +191,7 @@
     assert values(follower) == {"op/a": b"1"}
 
 
-def test_a_follower_takes_the_next_source_before_the_store(fed):
+def test_follower_prefers_the_next_source_to_the_store(fed):
     store, mirror, address, _ = fed
     store.put("op/a", b"1")
     mirror._list()
@@ -199,7 +201,7 @@
     assert store.faults.calls == calls
 
 
-def test_a_mirror_without_rows_yet_is_no_source(fed):
+def test_mirror_that_has_not_listed_is_no_source(fed):
     store, _, address, _ = fed
     store.put("op/a", b"1")
     follower = follow(store, [address])
@@ -217,71 +219,74 @@
 @pytest.mark.parametrize(
     ("me", "expected"),
     [
-        # A seed follows those before it, and the first one the store.
+        # A seed follows the seeds before it, and the first seed the store.
         ("n00", []),
         ("n02", ["n00:1", "n01:1"]),
-        # The head of a failure domain follows the seeds, its next eight the head.
+        # The root of a failure domain follows the seeds, the next eight the root.
         ("n03", [*SEEDS]),
         ("n04", ["n03:1", *SEEDS]),
         ("n11", ["n03:1", *SEEDS]),
         ("n12", ["n04:1", *SEEDS]),
     ],
 )
-def test_entries_of_a_failure_domain_follow_each_other(me, expected):
+def test_entries_of_a_failure_domain_form_a_tree(me, expected):
     members = [entry(f"n{number:02}") for number in range(40)]
-    found = feed_sources(entry(me), members, SEEDS)
-    assert found[: len(found) - 3] == expected[: len(expected) - 3]
-    assert set(found) == set(expected)
+    sources = feed_sources(entry(me), members, SEEDS)
+    assert sources[: len(sources) - 3] == expected[: len(expected) - 3]
+    assert set(sources) == set(expected)
 
 
-def test_one_whose_others_are_elsewhere_leaving_or_unknown_follows_the_seeds():
+def test_entry_without_usable_peers_in_its_failure_domain_follows_the_seeds():
     members = [entry("n04", "z2"), entry("n05", leaving=True), entry("n09")]
     for known in (members, [], members[:2]):
         assert set(feed_sources(entry("n09"), known, SEEDS)) == set(SEEDS)
 
 
 @pytest.mark.parametrize("count", [30, 300, 1_000])
-def test_no_entry_has_many_followers_however_many_there_are(count):
+def test_number_of_followers_is_bounded_at_any_number_of_entries(count):
     members = [entry(f"n{number:04}", f"z{number % 5}") for number in range(3, count)]
     seeds = ("n0000:1", "n0001:1", "n0002:1")
-    parents = Counter(feed_sources(one, members, seeds)[0] for one in members)
+    parents = Counter(feed_sources(me, members, seeds)[0] for me in members)
     assert max(parents.values()) <= FOLLOWERS_PER_ENTRY
-    for one in members:
-        steps, at = 0, one.address
-        while at not in seeds:
-            known = next(each for each in members if each.address == at)
-            at = feed_sources(known, members, seeds)[0]
-            steps += 1
-        assert steps <= 4
+    for member in members:
+        depth, address = 0, member.address
+        while address not in seeds:
+            node = next(other for other in members if other.address == address)
+            address = feed_sources(node, members, seeds)[0]
+            depth += 1
+        assert depth <= 4
 
 
-def test_a_source_that_is_silent_costs_no_second_wait(running):
-    """The next one is asked only what it knows now."""
+def test_silent_source_costs_no_second_wait(running):
+    """The next source is asked without a wait."""
     store = make_store()
     store.put("op/a", b"1")
-    top = start(direct(store), running)
-    wait_for(lambda: top.ready)
+    mirror = start(make_mirror(store), running)
+    wait_for(lambda: mirror.ready)
     waits = []
 
-    def silent(call):
+    def answer_nothing(call):
         waits.append(msgspec.json.decode(call.body(1_000))["wait"])
         call.abort()
 
-    feeds = FeedServer(lambda: {PREFIX: top})
+    feed = FeedServer(lambda: {PREFIX: mirror})
 
     def answer(call):
         waits.append(msgspec.json.decode(call.body(1_000))["wait"])
-        call.body = lambda most: msgspec.json.encode(
-            {"prefix": PREFIX, "after": top.revision, "wait": waits[-1]}
+        call.body = lambda limit: msgspec.json.encode(
+            {"prefix": PREFIX, "after": mirror.revision, "wait": waits[-1]}
         )
-        feeds.answer(call)
+        feed.answer(call)
 
-    servers = [Served(free_address(), one, threads=4) for one in (silent, answer)]
+    servers = [
+        Served(free_address(), handler, threads=4)
+        for handler in (answer_nothing, answer)
+    ]
     for server in servers:
         server.start()
     addresses = [server.address for server in servers]
     rows = FollowedRows(DirectRows(store), lambda: addresses, SystemClock(), 2.0)
-    rows.watch(PREFIX, top.revision, 1.0)
+    rows.watch(PREFIX, mirror.revision, 1.0)
     for server in servers:
         server.stop()
     assert waits == [1.0, 0.0]
--- a/tests/test_remote_engine.py
+++ b/tests/test_remote_engine.py
@@ -1,4 +1,4 @@
-"""An engine on another machine: what is known of it without asking."""
+"""An engine on another machine, and what is known of it without a call."""
 
 import pytest
 
@@ -11,8 +11,8 @@
 MODEL = "m"
 
 
-class Called:
-    """The engine over the network."""
+class FakeEngine:
+    """The engine as it answers over the network."""
 
     def __init__(self):
         self.reads = 0
@@ -20,31 +20,31 @@
         self.version = 4
         self.answers = []
         self.expected = []
-        self.away = False
+        self.unreachable = False
 
     def report(self):
         self.reads += 1
-        if self.away:
+        if self.unreachable:
             return Unavailable("no answer")
         return EngineReport({MODEL: self.version}, orders=self.orders)
 
     def move(self, order, fence, expected):
         self.expected.append(expected)
         answer = self.answers.pop(0) if self.answers else "accepted"
-        if answer in ("accepted", "lost but done"):
+        if answer in ("accepted", "lost but executed"):
             self.orders += 1
             self.version = order.version
         return answer
 
 
-class Distant:
+class RemoteCase:
     """A `RemoteEngine` with its registration and its clock."""
 
     def __init__(self):
         self.clock = ManualClock(100.0)
-        self.called = Called()
+        self.fake = FakeEngine()
         self.register(4)
-        self.engine = RemoteEngine(self.called, lambda: self.target, self.clock)
+        self.engine = RemoteEngine(self.fake, lambda: self.target, self.clock)
 
     def register(self, version, draining=False):
         self.target = Target(
@@ -61,63 +61,63 @@
 
 
 @pytest.fixture
-def distant():
-    return Distant()
+def remote():
+    return RemoteCase()
 
 
-def test_it_is_read_once_and_then_told_by_its_registration(distant):
+def test_report_is_read_once_and_versions_then_come_from_the_registration(remote):
     for version in (5, 6, 7):
-        assert distant.move(version) == "accepted"
-        assert distant.version() == version
-        distant.clock.advance(2.0)
-        distant.register(version)
-    assert distant.called.reads == 1
-    assert distant.called.expected == [3, 4, 5]
+        assert remote.move(version) == "accepted"
+        assert remote.version() == version
+        remote.clock.advance(2.0)
+        remote.register(version)
+    assert remote.fake.reads == 1
+    assert remote.fake.expected == [3, 4, 5]
 
 
 @pytest.mark.parametrize("answer", ["status 409", "status 421", "connect", "lost"])
-def test_it_is_read_again_after_an_order_that_was_not_accepted(distant, answer):
-    distant.move(5)
-    distant.called.answers = [answer]
-    distant.move(6)
-    distant.called.version = 5
-    assert distant.version() == 5
-    assert distant.called.reads == 2
-
-
-def test_an_order_that_is_lost_and_done_is_not_given_twice(distant):
-    distant.called.answers = ["lost but done"]
-    distant.move(5)
-    report = distant.engine.report()
+def test_report_is_read_again_after_an_order_that_was_not_accepted(remote, answer):
+    remote.move(5)
+    remote.fake.answers = [answer]
+    remote.move(6)
+    remote.fake.version = 5
+    assert remote.version() == 5
+    assert remote.fake.reads == 2
+
+
+def test_executed_order_with_a_lost_answer_is_not_given_twice(remote):
+    remote.fake.answers = ["lost but executed"]
+    remote.move(5)
+    report = remote.engine.report()
     assert (report.versions[MODEL], report.orders) == (5, 4)
 
 
-def test_an_order_without_effect_is_found_out(distant):
-    """It was accepted, and the engine went back or never loaded."""
-    distant.move(5)
-    distant.called.version = 4
-    distant.clock.advance(ASSUMED_SECONDS - 0.1)
-    assert distant.version() == 5
-    distant.clock.advance(0.2)
-    assert distant.version() == 4
-    assert distant.called.reads == 2
+def test_accepted_order_without_effect_is_detected(remote):
+    """The engine accepted the order, but it went back or never loaded the version."""
+    remote.move(5)
+    remote.fake.version = 4
+    remote.clock.advance(ASSUMED_SECONDS - 0.1)
+    assert remote.version() == 5
+    remote.clock.advance(0.2)
+    assert remote.version() == 4
+    assert remote.fake.reads == 2
 
 
-def test_it_loads_for_a_while_after_an_order(distant):
-    distant.move(5)
-    assert distant.engine.report().loading
-    distant.clock.advance(1.0)
-    assert not distant.engine.report().loading
+def test_engine_counts_as_loading_for_a_while_after_an_order(remote):
+    remote.move(5)
+    assert remote.engine.report().loading
+    remote.clock.advance(1.0)
+    assert not remote.engine.report().loading
 
 
-def test_one_that_leaves_or_is_gone_is_told(distant):
-    distant.move(5)
-    distant.register(5, draining=True)
-    assert distant.engine.report().draining
-    distant.target = None
-    assert isinstance(distant.engine.report(), Unavailable)
+def test_draining_and_missing_registrations_are_reported(remote):
+    remote.move(5)
+    remote.register(5, draining=True)
+    assert remote.engine.report().draining
+    remote.target = None
+    assert isinstance(remote.engine.report(), Unavailable)
 
 
-def test_one_that_does_not_answer_is_unavailable(distant):
-    distant.called.away = True
-    assert isinstance(distant.engine.report(), Unavailable)
+def test_engine_that_does_not_answer_is_unavailable(remote):
+    remote.fake.unreachable = True
+    assert isinstance(remote.engine.report(), Unavailable)
--- a/tests/test_rendezvous.py
+++ b/tests/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: shares, movement, bounded load and subsets."""
+"""Rendezvous hashing: shares, moved keys, bounded load and subsets."""
 
 from collections import Counter
 
@@ -10,15 +10,15 @@
 NAMES = [f"name-{number}" for number in range(8)]
 
 
-def test_order_does_not_depend_on_the_order_given():
+def test_ranking_is_independent_of_the_order_of_names():
     assert ranked("k", NAMES) == ranked("k", reversed(NAMES))
     assert owner("k", NAMES) == ranked("k", NAMES)[0]
     assert owner("k", []) is None
     assert sorted(ranked("k", NAMES)) == NAMES
 
 
-def test_the_hash_is_the_same_in_every_process():
-    """Fixed values, as nodes of two releases must agree."""
+def test_ranking_is_the_same_in_every_process():
+    """The values are fixed, as processes of two releases must agree."""
     assert ranked("lot", "abcd") == ["a", "d", "c", "b"]
 
 
@@ -31,12 +31,12 @@
         assert abs(counts[name] - expected) <= 0.15 * expected
 
 
-def test_only_the_keys_of_a_leaver_move():
-    left = NAMES[1:]
+def test_only_the_keys_of_a_leaving_name_move():
+    remaining = NAMES[1:]
     for key in KEYS:
         before = owner(key, NAMES)
         if before != NAMES[0]:
-            assert owner(key, left) == before
+            assert owner(key, remaining) == before
 
 
 def test_bounded_load_stays_near_the_mean():
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize(
     ("members", "targets", "size"), [(1, 50, 8), (4, 5, 8), (40, 300, 32), (64, 64, 8)]
 )
-def test_subsets_use_every_target_alike_and_move_few(members, targets, size):
+def test_subsets_use_each_target_equally_and_move_few_targets(members, targets, size):
     names = [f"entry-{number}" for number in range(members)]
     sides = [f"side-{number}" for number in range(targets)]
     shares = {name: set(subset(name, names, sides, size)) for name in names}
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -1,3 +1,5 @@
+"""Store calls through relays, the platform's store adapter, and the count of calls."""
+
 import random
 
 import pytest
@@ -23,8 +25,8 @@
 from wigeonfront.platform.metadata_store import MetadataStore
 
 
-class TurnedAway:
-    """A direct way that answers nothing."""
+class FailingStore:
+    """A store each of whose calls has the same outcome."""
 
     def __init__(self, outcome):
         self.outcome = outcome
@@ -51,64 +53,64 @@
     server.stop()
 
 
-def routed(direct, *addresses, clock=None):
+def make_routed(direct, *addresses, clock=None):
     return RoutedStore(
         direct, lambda: addresses, clock or SystemClock(), random.Random(1)
     )
 
 
-def test_every_call_goes_through_a_relay_while_the_direct_way_fails(relay):
+def test_all_calls_use_a_relay_while_direct_calls_fail(relay):
     _, address = relay
-    away = routed(TurnedAway(Unavailable("status 503")), address)
-    written = away.write((Expect("a", 0),), (Put("a", b"\x00\xff"),))
+    routed = make_routed(FailingStore(Unavailable("status 503")), address)
+    written = routed.write((Expect("a", 0),), (Put("a", b"\x00\xff"),))
     assert isinstance(written, Stored)
-    assert away.get("a").value == b"\x00\xff"
-    assert away.get("b") == Absent(1)
-    assert [row.key for row in away.list("").rows] == ["a"]
-    assert away.watch("", 0, 0.1).changes[0].value == b"\x00\xff"
-    assert isinstance(away.write((Expect("a", 0),)), Mismatch)
-    lease = away.grant_lease(5.0)
+    assert routed.get("a").value == b"\x00\xff"
+    assert routed.get("b") == Absent(1)
+    assert [row.key for row in routed.list("").rows] == ["a"]
+    assert routed.watch("", 0, 0.1).changes[0].value == b"\x00\xff"
+    assert isinstance(routed.write((Expect("a", 0),)), Mismatch)
+    lease = routed.grant_lease(5.0)
     assert isinstance(lease, Lease)
-    assert away.renew_lease(lease.lease) == lease
-    assert isinstance(away.revoke_lease(lease.lease), Stored)
-    assert away.renew_lease(lease.lease) == LeaseLost(lease.lease)
+    assert routed.renew_lease(lease.lease) == lease
+    assert isinstance(routed.revoke_lease(lease.lease), Stored)
+    assert routed.renew_lease(lease.lease) == LeaseLost(lease.lease)
 
 
-def test_the_direct_way_is_tried_again_after_a_pause(relay):
+def test_direct_calls_are_tried_again_after_a_pause(relay):
     _, address = relay
     clock = ManualClock()
-    direct = TurnedAway(Unavailable("x"))
-    away = routed(direct, address, clock=clock)
+    direct = FailingStore(Unavailable("x"))
+    routed = make_routed(direct, address, clock=clock)
     for _ in range(5):
-        away.get("a")
+        routed.get("a")
     assert direct.calls == 1
-    assert away.direct_failing
+    assert routed.direct_failing
     clock.advance(1.5)
     direct.outcome = Absent(7)
-    assert away.get("a") == Absent(7)
-    assert not away.direct_failing
+    assert routed.get("a") == Absent(7)
+    assert not routed.direct_failing
 
 
 @pytest.mark.parametrize("addresses", [0, 1])
-def test_a_write_that_surely_was_not_made_is_said_so(relay, addresses):
+def test_write_that_no_process_made_is_unavailable(relay, addresses):
     store, address = relay
     store.faults.down = True
-    away = routed(TurnedAway(Unavailable("x")), *[address][:addresses])
-    assert isinstance(away.write((), (Put("a", b"1"),)), Unavailable)
+    routed = make_routed(FailingStore(Unavailable("x")), *[address][:addresses])
+    assert isinstance(routed.write((), (Put("a", b"1"),)), Unavailable)
 
 
-def test_a_write_in_doubt_stays_in_doubt(relay):
+def test_write_in_doubt_stays_in_doubt(relay):
     _, address = relay
-    away = routed(TurnedAway(Uncertain("cut")), address)
-    assert isinstance(away.write((), (Put("a", b"1"),)), Uncertain)
+    routed = make_routed(FailingStore(Uncertain("cut")), address)
+    assert isinstance(routed.write((), (Put("a", b"1"),)), Uncertain)
 
-    def cut(call):
+    def abort(call):
         call.abort()
 
-    dead, server = serve(cut)
-    away = routed(TurnedAway(Unavailable("x")), dead)
-    assert isinstance(away.write((), (Put("a", b"1"),)), Uncertain)
-    assert isinstance(away.get("a"), Unavailable)
+    address, server = serve(abort)
+    routed = make_routed(FailingStore(Unavailable("x")), address)
+    assert isinstance(routed.write((), (Put("a", b"1"),)), Uncertain)
+    assert isinstance(routed.get("a"), Unavailable)
     server.stop()
 
 
@@ -124,7 +126,7 @@
     server.stop()
 
 
-def test_the_adapter_speaks_the_store_s_protocol(served):
+def test_adapter_implements_the_protocol_of_the_store(served):
     rows, client = served
     assert client.get("k") == Absent(0)
     written = client.write((Expect("k", 0),), (Put("k", b"\x00v"),))
@@ -138,7 +140,7 @@
     assert isinstance(client.revoke_lease(lease.lease), Stored)
     assert isinstance(client.get("l"), Absent)
     changes = client.watch("", 0, 0.1).changes
-    assert [(one.key, one.value) for one in changes] == [
+    assert [(change.key, change.value) for change in changes] == [
         ("k", b"\x00v"),
         ("l", b"x"),
         ("l", None),
@@ -147,7 +149,7 @@
     assert client.watch("", 0, 0.1).compacted
 
 
-def test_the_adapter_tells_refused_writes_from_lost_ones(served):
+def test_adapter_distinguishes_refused_writes_from_lost_answers(served):
     rows, client = served
     rows.faults.down = True
     assert isinstance(client.write((), (Put("a", b"1"),)), Unavailable)
@@ -157,7 +159,7 @@
     wait_for(lambda: client.get("a") != Absent(0))
 
 
-def test_calls_are_counted_by_kind_and_rows():
+def test_calls_are_counted_by_call_and_rows():
     registry = Registry()
     store = MeteredStore(make_store(), registry)
     store.get("live/lot/x")
--- a/tests/test_weight_mover.py
+++ b/tests/test_weight_mover.py
@@ -1,4 +1,4 @@
-"""The mover beside an engine that starts again under its id."""
+"""The mover of an engine, also of one that restarts under the same id."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 class Engine:
-    """An engine that takes orders at once, if their expected number is its own."""
+    """An engine that executes an order at once if its expected number is right."""
 
     def __init__(self, version):
         self.version = version
@@ -23,9 +23,9 @@
         return EngineReport({MODEL: self.version}, orders=self.accepted)
 
     def move(self, order, fence, expected):
-        return self.take(order.version, expected)
+        return self.execute(order.version, expected)
 
-    def take(self, version, expected):
+    def execute(self, version, expected):
         if expected != self.accepted:
             return "status 409"
         self.accepted += 1
@@ -36,8 +36,8 @@
         self.accepted = 0
 
 
-class Beside:
-    """A mover, with its clock and its engine."""
+class MoverCase:
+    """A mover with its clock and its engine."""
 
     def __init__(self, version, named):
         self.clock = ManualClock(100.0)
@@ -53,32 +53,32 @@
             order_counter(Registry()),
         )
 
-    def steps(self, seconds):
+    def run_for(self, seconds):
         """Let the mover work for some time."""
         until = self.clock.monotonic() + seconds
         while self.clock.monotonic() < until:
             self.clock.advance(self.mover._step())
 
 
-def test_an_order_carried_out_late_after_a_restart_is_made_good():
-    """Numbers begin again at a restart, so an order of before may fit once more."""
-    beside = Beside(version=2, named=4)
-    late = (3, beside.engine.accepted)
-    beside.steps(3.0)
-    assert beside.engine.version == 4
-    assert beside.engine.take(*late) == "status 409"
-    beside.engine.restart()
-    assert beside.engine.take(*late) == "accepted"
-    assert beside.engine.version == 3
-    beside.engine.version = 1
-    beside.steps(RECHECK_SECONDS + 1.0)
-    assert beside.engine.version == 4
+def test_late_order_after_a_restart_is_corrected():
+    """The count of orders starts again at a restart, so an earlier order may fit it."""
+    case = MoverCase(version=2, named=4)
+    late_order = (3, case.engine.accepted)
+    case.run_for(3.0)
+    assert case.engine.version == 4
+    assert case.engine.execute(*late_order) == "status 409"
+    case.engine.restart()
+    assert case.engine.execute(*late_order) == "accepted"
+    assert case.engine.version == 3
+    case.engine.version = 1
+    case.run_for(RECHECK_SECONDS + 1.0)
+    assert case.engine.version == 4
 
 
 @pytest.mark.parametrize("seconds", [20.0])
-def test_an_engine_that_has_moved_is_seldom_read(seconds):
-    beside = Beside(version=4, named=4)
-    beside.steps(1.0)
-    beside.engine.reads = 0
-    beside.steps(seconds)
-    assert 1 <= beside.engine.reads <= seconds / RECHECK_SECONDS + 1
+def test_engine_at_the_named_version_is_read_seldom(seconds):
+    case = MoverCase(version=4, named=4)
+    case.run_for(1.0)
+    case.engine.reads = 0
+    case.run_for(seconds)
+    assert 1 <= case.engine.reads <= seconds / RECHECK_SECONDS + 1
--- a/tests/test_weight_plan.py
+++ b/tests/test_weight_plan.py
@@ -1,3 +1,5 @@
+"""Which engine of a service loads which version, and when."""
+
 import pytest
 
 from wigeonfront.weights.plan import (
@@ -21,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("have", "newest", "rank", "moves"),
+    ("current", "newest", "rank", "moves"),
     [
         (3, 3, 0, False),
         (3, 4, 0, True),
@@ -32,24 +34,26 @@
         (4, 5, 1, True),
     ],
 )
-def test_halves_of_the_engines_follow_even_and_odd_versions(have, newest, rank, moves):
-    order = next_move(report(a=have), [named(newest)], 99.0, Place(rank, 6, ("a",)))
+def test_halves_of_the_engines_follow_even_and_odd_versions(
+    current, newest, rank, moves
+):
+    order = next_move(report(a=current), [named(newest)], 99.0, Place(rank, 6, ("a",)))
     assert (order is not None) == moves
     if order:
         assert (order.model, order.version) == ("a", newest)
 
 
 @pytest.mark.parametrize("keep_runs", [True, False])
-@pytest.mark.parametrize("have", [1, 2])
-def test_an_order_says_whether_runs_may_go_on(keep_runs, have):
-    order = next_move(report(a=have), [named(4)], 99.0, Place(), keep_runs)
+@pytest.mark.parametrize("current", [1, 2])
+def test_order_states_whether_runs_may_continue(keep_runs, current):
+    order = next_move(report(a=current), [named(4)], 99.0, Place(), keep_runs)
     assert order.keep_runs == keep_runs
 
 
-@pytest.mark.parametrize("busy", [{"loading": True}, {"draining": True}])
-def test_a_busy_or_leaving_engine_gets_no_order(busy):
-    state = EngineReport(versions={"a": 1}, **busy)
-    assert next_move(state, [named(4)], 99.0, Place(0, 6)) is None
+@pytest.mark.parametrize("state", [{"loading": True}, {"draining": True}])
+def test_loading_or_draining_engine_gets_no_order(state):
+    engine = EngineReport(versions={"a": 1}, **state)
+    assert next_move(engine, [named(4)], 99.0, Place(0, 6)) is None
 
 
 def test_few_engines_load_at_once():
@@ -58,13 +62,13 @@
     assert next_move(report(a=2), [named(4, at=10.0)], 10.1, place) is None
     late = 10.0 + place.load_delay
     assert next_move(report(a=2), [named(4, at=10.0)], late, place) is not None
-    # One that can't serve any step does not wait.
+    # An engine that can't serve any step does not wait.
     assert next_move(report(a=1), [named(4, at=10.0)], 10.1, place) is not None
 
 
 @pytest.mark.parametrize("count", [5, 6, 9, 23, 25, 40])
 @pytest.mark.parametrize("models", [1, 2, 3, 4])
-def test_every_model_is_served_by_both_halves(count, models):
+def test_both_halves_serve_every_model(count, models):
     names = MODELS[:models]
     places = [Place(rank, count, names) for rank in range(count)]
     loads = 0
@@ -80,21 +84,21 @@
 
 
 @pytest.mark.parametrize("count", [2, 4, 7])
-def test_few_engines_serve_all_models(count):
+def test_each_of_few_engines_serves_all_models(count):
     assert all(Place(rank, count, MODELS).serves("d") for rank in range(count))
 
 
 @pytest.mark.parametrize("count", [1, 2, 6, 25])
 @pytest.mark.parametrize("version", [2, 3])
-def test_the_engines_that_are_expected_to_load_are_those_that_do(count, version):
+def test_loading_engines_are_those_that_get_an_order(count, version):
     addresses = [f"h:{number:02}" for number in range(count)]
     models = MODELS[:3]
     places = engine_places(addresses[::-1], models)
     expected = loading_engines(places, "b", version)
-    have = report(b=version - 1)
-    moved = [
+    state = report(b=version - 1)
+    ordered = [
         address
         for rank, address in enumerate(addresses)
-        if next_move(have, [named(version, "b")], 99.0, Place(rank, count, models))
+        if next_move(state, [named(version, "b")], 99.0, Place(rank, count, models))
     ]
-    assert expected == moved
+    assert expected == ordered
