--- a/src/wigeonfront/coordination/assignment.py
+++ b/src/wigeonfront/coordination/assignment.py
@@ -210,9 +210,7 @@
     unpinned = len(view.subjects - pinned.keys())
     wanted = wanted_holders(unpinned, len(view.staying))
     kept = [
-        name
-        for name in current.entries
-        if view.absent.get(name, 0.0) < ABSENT_SECONDS
+        name for name in current.entries if view.absent.get(name, 0.0) < ABSENT_SECONDS
     ]
     if len(kept) < wanted:
         candidates = sorted(view.staying - set(kept), key=writer_rank)
--- a/src/wigeonfront/coordination/rights.py
+++ b/src/wigeonfront/coordination/rights.py
@@ -21,10 +21,10 @@
 from wigeonfront.coordination.assignment import (
     Assignment,
     MembershipView,
-    next_assignment,
+    coalescing_seconds,
     decode_assignment,
     encode_assignment,
-    coalescing_seconds,
+    next_assignment,
     settled,
     writer_pause,
 )
--- a/src/wigeonfront/node/assigning.py
+++ b/src/wigeonfront/node/assigning.py
@@ -3,7 +3,11 @@
 from collections.abc import Callable
 
 from wigeonfront.clock import Clock
-from wigeonfront.coordination.assignment import Assignment, MembershipView, decode_assignment
+from wigeonfront.coordination.assignment import (
+    Assignment,
+    MembershipView,
+    decode_assignment,
+)
 from wigeonfront.coordination.membership import (
     ENTRY_PREFIX,
     SIDE_PREFIX,
--- a/src/wigeonfront/usage/collection.py
+++ b/src/wigeonfront/usage/collection.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 
 from wigeonfront.clock import Clock
-from wigeonfront.coordination.membership import Member
 from wigeonfront.coordination.clock_offset import (
     ClockReading,
     agreed_offset,
     answered_at,
     reading_from_call,
 )
+from wigeonfront.coordination.membership import Member
 from wigeonfront.usage.calls import AgedStart, StartClient, StartsOf, ToldStarts
 from wigeonfront.usage.held import HeldStarts
 from wigeonfront.usage.starts import StartLog
@@ -71,7 +71,9 @@
         for held in told.held:
             self._take_copy(held, at)
         self.heard_at[told.own.incarnation] = at
-        reading = reading_from_call(member.name, sent, received, told.handling, told.unix)
+        reading = reading_from_call(
+            member.name, sent, received, told.handling, told.unix
+        )
         self.readings[member.name] = reading
 
     def take_here(
--- a/src/wigeonfront/weights/fleet.py
+++ b/src/wigeonfront/weights/fleet.py
@@ -11,7 +11,6 @@
 from wigeonfront.observability.metrics import Registry
 from wigeonfront.supervisor import Supervisor
 from wigeonfront.targets.target import Target
-from wigeonfront.weights.remote import RemoteEngine
 from wigeonfront.weights.mover import Engine, WeightMover, order_counter
 from wigeonfront.weights.plan import (
     NamedVersion,
@@ -19,6 +18,7 @@
     engine_places,
     loading_engines,
 )
+from wigeonfront.weights.remote import RemoteEngine
 
 logger = logging.getLogger(__name__)
 
--- a/tests/test_assignment.py
+++ b/tests/test_assignment.py
@@ -6,8 +6,8 @@
 
 from wigeonfront.coordination.assignment import (
     ABSENT_SECONDS,
-    FLIGHT_SECONDS,
     COALESCE_SECONDS,
+    FLIGHT_SECONDS,
     MIN_HOLDERS,
     PINNED_ABSENT_SECONDS,
     PINNED_TERM_SECONDS,
@@ -16,10 +16,10 @@
     Assignment,
     Holders,
     MembershipView,
-    next_assignment,
+    coalescing_seconds,
     decode_assignment,
     encode_assignment,
-    coalescing_seconds,
+    next_assignment,
     next_holders,
     settled,
     wanted_holders,
--- a/tests/test_remote_engine.py
+++ b/tests/test_remote_engine.py
@@ -5,8 +5,8 @@
 from wigeonfront.clock import ManualClock
 from wigeonfront.coordination.rows import Unavailable
 from wigeonfront.targets.target import Target
-from wigeonfront.weights.remote import ASSUMED_SECONDS, RemoteEngine
 from wigeonfront.weights.plan import EngineReport, MoveOrder
+from wigeonfront.weights.remote import ASSUMED_SECONDS, RemoteEngine
 
 MODEL = "m"
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -4,8 +4,12 @@
 
 from platform_standins.rows import MemoryRows
 from wigeonfront.clock import ManualClock
+from wigeonfront.coordination.clock_offset import (
+    ClockReading,
+    agreed_offset,
+    reading_from_call,
+)
 from wigeonfront.coordination.membership import Member
-from wigeonfront.coordination.clock_offset import ClockReading, agreed_offset, reading_from_call
 from wigeonfront.usage.backup import copy_holder
 from wigeonfront.usage.calls import AgedStart, StartsOf, ToldStarts
 from wigeonfront.usage.collection import Collection
@@ -58,7 +62,9 @@
 ):
     sent = 50.0
     answered = sent + way_there + handling
-    reading = reading_from_call("n", sent, answered + way_back, handling, 1_000.0 + answered)
+    reading = reading_from_call(
+        "n", sent, answered + way_back, handling, 1_000.0 + answered
+    )
     assert reading.offset == pytest.approx(1_000.0, abs=error + 1e-9)
     assert reading.error == pytest.approx((way_there + way_back) / 2)
 
