--- a/src/wigeonfront/weights/plan.py
+++ b/src/wigeonfront/weights/plan.py
@@ -38,7 +38,7 @@
 ORDER_SECONDS = 0.6
 """Time after which an order without an effect is given again. An order that was not
 answered may still be executed later; the number of accepted orders that it expects
-prevents that it is executed after a newer one."""
+keeps the engine from executing it after a newer one."""
 
 
 @dataclass(frozen=True, slots=True)
