--- a/src/wigeonfront/usage/collection.py
+++ b/src/wigeonfront/usage/collection.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass, field
 
 from wigeonfront.clock import Clock
-from wigeonfront.coordination.membership import Member
-from wigeonfront.coordination.true_time import (
+from wigeonfront.coordination.clock_offset import (
     ClockReading,
     agreed_offset,
     answered_at,
-    reading_of,
+    reading_from_call,
 )
+from wigeonfront.coordination.membership import Member
 from wigeonfront.usage.calls import AgedStart, ProcessStarts, StartClient, StartsReply
 from wigeonfront.usage.held import HeldStarts
 from wigeonfront.usage.starts import StartLog
@@ -75,7 +75,9 @@
         for held in reply.held:
             self._add_copy(held, at)
         self.complete_until[reply.own.incarnation] = at
-        reading = reading_of(member.name, sent, received, reply.handling, reply.unix)
+        reading = reading_from_call(
+            member.name, sent, received, reply.handling, reply.unix
+        )
         self.readings[member.name] = reading
 
     def add_local(
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -4,8 +4,12 @@
 
 from platform_standins.rows import MemoryRows
 from wigeonfront.clock import ManualClock
+from wigeonfront.coordination.clock_offset import (
+    ClockReading,
+    agreed_offset,
+    reading_from_call,
+)
 from wigeonfront.coordination.membership import Member
-from wigeonfront.coordination.true_time import ClockReading, agreed_offset, reading_of
 from wigeonfront.usage.backup import copy_holder
 from wigeonfront.usage.calls import AgedStart, ProcessStarts, StartsReply
 from wigeonfront.usage.collection import Collection
@@ -60,7 +64,7 @@
 ):
     sent = 50.0
     answered = sent + request_seconds + handling
-    reading = reading_of(
+    reading = reading_from_call(
         "n", sent, answered + reply_seconds, handling, 1_000.0 + answered
     )
     assert reading.offset == pytest.approx(1_000.0, abs=error + 1e-9)
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -18,7 +18,7 @@
 from wigeonfront.coordination.assignment import (
     FLIGHT_SECONDS,
     TERM_SECONDS,
-    Present,
+    MembershipView,
     decode_assignment,
 )
 from wigeonfront.coordination.membership import Member
@@ -99,7 +99,7 @@
             lambda: self.present,
             APART_SECONDS,
             self.clock,
-            self.rights.take,
+            self.rights.update_assignment,
         )
         self.reporter = UsageReporter(
             name,
@@ -119,8 +119,8 @@
 
     def read_row(self, row):
         assignment = decode_assignment(row.value, row.revision)
-        self.keeper.take(assignment)
-        self.rights.take(assignment)
+        self.keeper.update_assignment(assignment)
+        self.rights.update_assignment(assignment)
         if self.assignment is None or assignment.revision > self.assignment.revision:
             self.assignment = assignment
 
@@ -170,7 +170,7 @@
         self.true_counts = {}
         seen = frozenset(NAMES)
         for machine in self.machines.values():
-            machine.present = Present(seen, seen)
+            machine.present = MembershipView(seen, seen)
         for _ in range(4):
             self.clock.advance(1.0)
             self.all_machines_act()
@@ -178,7 +178,7 @@
     @rule()
     def all_machines_act(self):
         for machine in self.machines.values():
-            machine.keeper.look()
+            machine.keeper.write_if_due()
         for name in NAMES:
             self.machine_reads_the_row(name)
         for machine in self.machines.values():
@@ -243,11 +243,11 @@
         """Entries that the machine doesn't see count as absent for long."""
         absent = dict.fromkeys(set(NAMES) - entries, 1000.0)
         seen = frozenset(entries)
-        self.machines[name].present = Present(seen, seen, absent=absent)
+        self.machines[name].present = MembershipView(seen, seen, absent=absent)
 
     @rule(name=st.sampled_from(NAMES))
     def entry_maintains_the_row(self, name):
-        self.machines[name].keeper.look()
+        self.machines[name].keeper.write_if_due()
 
     @rule(name=st.sampled_from(NAMES))
     def machine_reads_the_row(self, name):
@@ -276,7 +276,7 @@
             machine.store.deliver()
             machine.store.cut = machine.store.lose = False
             machine.store.before = machine.store.after = 0.0
-            machine.present = Present(seen, seen)
+            machine.present = MembershipView(seen, seen)
         self.platform.answers_lost = self.platform.down = False
         self.platform.transit_seconds = 0.0
         for _ in range(120):
@@ -314,11 +314,11 @@
     others = frozenset(NAMES) - {first.name}
     for name in others:
         machine = walk.machines[name]
-        machine.present = Present(others, others, absent={first.name: 1_000.0})
+        machine.present = MembershipView(others, others, absent={first.name: 1_000.0})
     for _ in range(60):
         walk.clock.advance(0.25)
         for name in others:
-            walk.machines[name].keeper.look()
+            walk.machines[name].keeper.write_if_due()
             walk.machine_reads_the_row(name)
             walk.machines[name].act()
         first.act()
