--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -459,7 +459,7 @@
     _mutation(
         "accounts share idempotency keys",
         "api/requests.py",
-        "            scope = scoped(admitted, configuration, key)",
+        "            scope = scoped_id(admitted, configuration, key)",
         "            scope = key",
         "test_api.py",
     ),
--- a/src/wigeonfront/api/callers.py
+++ b/src/wigeonfront/api/authentication.py
@@ -13,7 +13,7 @@
 AUTHORIZATION_HEADER = "Authorization"
 
 
-class Callers:
+class CallAuthenticator:
     """Admits calls.
 
     Parameters
@@ -51,10 +51,10 @@
             As for `admit`.
         """
         routes = [one for one in configuration.routes if one.kind is RouteKind.LOTS]
-        return scoped(self.admit(call, configuration, routes), configuration, name)
+        return scoped_id(self.admit(call, configuration, routes), configuration, name)
 
 
-def scoped(admitted: Admitted, configuration: Configuration, name: str) -> str:
+def scoped_id(admitted: Admitted, configuration: Configuration, name: str) -> str:
     """Return the id of what a caller calls `name`; other accounts have their own."""
     if configuration.accounts is None:
         return name
--- a/src/wigeonfront/api/lots.py
+++ b/src/wigeonfront/api/lots.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from wigeonfront.accounts import Admitted
-from wigeonfront.api.callers import Callers, scoped
+from wigeonfront.api.authentication import CallAuthenticator, scoped_id
 from wigeonfront.api.errors import Refused
 from wigeonfront.api.messages import (
     LotAccepted,
@@ -27,7 +27,7 @@
 LOTS_PATH = "/v1/lots"
 ACKNOWLEDGE_PATH = "/v1/lots/acknowledge"
 
-MOST_WAIT_SECONDS = 2.0
+MAX_WAIT_SECONDS = 2.0
 """Longest wait of a reading for a result: a connection that has gone silent is found
 out soon after."""
 
@@ -60,15 +60,19 @@
     ----------
     lots : wigeonfront.rollout.lots.Lots
     engines : EngineHeaders
-    callers : Callers
+    authenticator : CallAuthenticator
     clock : Clock
     """
 
     def __init__(
-        self, lots: Lots, engines: EngineHeaders, callers: Callers, clock: Clock
+        self,
+        lots: Lots,
+        engines: EngineHeaders,
+        authenticator: CallAuthenticator,
+        clock: Clock,
     ) -> None:
         self._lots = lots
-        self._callers = callers
+        self._authenticator = authenticator
         self._engines = engines
         self._clock = clock
 
@@ -76,8 +80,8 @@
         """Keep a Lot and run it; 202 also where it is kept already."""
         body = decode_body(call.body(configuration.limits.body_bytes), LotBody)
         route = named_route(configuration, body.route, RouteKind.LOTS)
-        admitted = self._callers.admit(call, configuration, [route])
-        id = scoped(admitted, configuration, lot_id(body.trainer, body.lot))
+        admitted = self._authenticator.admit(call, configuration, [route])
+        id = scoped_id(admitted, configuration, lot_id(body.trainer, body.lot))
         if self._lots.knows(id) and self._lots.ended(id):
             raise Refused(410, "already_delivered")
         lot = self._lot(id, body, route, configuration, admitted)
@@ -93,10 +97,10 @@
     def read(self, call: RawCall, configuration: Configuration) -> None:
         """Answer with results from a position on, waiting for one if asked to."""
         name = _id_of(call.path.removeprefix(LOTS_PATH + "/"))
-        id = self._callers.lot_id(call, configuration, name)
+        id = self._authenticator.lot_id(call, configuration, name)
         query = parse_qs(call.query)
         after = int(_number(query, "after"))
-        wait = min(_number(query, "wait"), MOST_WAIT_SECONDS)
+        wait = min(_number(query, "wait"), MAX_WAIT_SECONDS)
         page = self._lots.read(id, after, wait)
         if not isinstance(page, answers.LotPage):
             raise _unreadable(page)
@@ -113,7 +117,7 @@
         """End a Lot whose results the trainer has."""
         body = decode_body(call.body(configuration.limits.body_bytes), LotName)
         name = lot_id(body.trainer, body.lot)
-        outcome = self._lots.end(self._callers.lot_id(call, configuration, name))
+        outcome = self._lots.end(self._authenticator.lot_id(call, configuration, name))
         if not isinstance(outcome, answers.Accepted):
             raise _unreadable(outcome)
         call.reply_json(200, body)
--- a/src/wigeonfront/api/operations.py
+++ b/src/wigeonfront/api/operations.py
@@ -75,13 +75,13 @@
     def decode(self, value: bytes) -> Configuration | BadDocument:
         """Return the configuration that a document holds."""
 
-    def redacted(self, value: bytes) -> bytes:
+    def redact_keys(self, value: bytes) -> bytes:
         """Return a document with fingerprints in place of keys."""
 
-    def names_fingerprints(self, value: bytes) -> bool:
+    def contains_fingerprints(self, value: bytes) -> bool:
         """Tell whether a document names a key by its fingerprint."""
 
-    def restored(self, value: bytes, present: bytes) -> bytes | BadDocument:
+    def restore_keys(self, value: bytes, present: bytes) -> bytes | BadDocument:
         """Return a document with the keys that its fingerprints stand for."""
 
 
@@ -139,7 +139,7 @@
             raise Refused(404, "no_catalogue")
         configuration = self._format.decode(row.value)
         version = 0 if isinstance(configuration, BadDocument) else configuration.version
-        document = msgspec.Raw(self._format.redacted(row.value))
+        document = msgspec.Raw(self._format.redact_keys(row.value))
         call.reply_json(200, CatalogueReply(version, row.revision, document))
 
     def put(self, call: RawCall) -> None:
@@ -153,7 +153,7 @@
         if version <= self._version():
             raise Refused(422, "version_too_low", f"{self._version()} is in force")
         expected = (Expect(self._format.key, change.expected),)
-        told = self._format.redacted(value)
+        told = self._format.redact_keys(value)
         puts = (Put(self._format.key, value), Put(_history_key(version), told))
         outcome = self._store.write(expected, puts)
         if isinstance(outcome, Stored):
@@ -167,11 +167,11 @@
 
     def _restored(self, value: bytes) -> bytes:
         """Return a document with the keys that the operator could not see."""
-        if not self._format.names_fingerprints(value):
+        if not self._format.contains_fingerprints(value):
             return value
         row = self._row()
         present = row.value if isinstance(row, Row) else b""
-        restored = self._format.restored(value, present)
+        restored = self._format.restore_keys(value, present)
         if isinstance(restored, BadDocument):
             raise Refused(422, "bad_document", restored.reason)
         return restored
@@ -239,7 +239,7 @@
     members : callable
     mirror : Mirror
         Tells whether the store is reached.
-    versions : callable
+    named_versions : callable
         Returns the newest named versions.
     order_holders : callable
         Returns the machines that order engines.
@@ -256,7 +256,7 @@
     version: Callable[[], int]
     members: Callable[[], list[Member]]
     mirror: Mirror
-    versions: Callable[[], list[NamedVersion]]
+    named_versions: Callable[[], list[NamedVersion]]
     order_holders: Callable[[], list[str]]
     duties: Callable[[], list[DutyStatus]]
     services: Callable[[], list[str]]
@@ -270,7 +270,7 @@
             ready=self.ready(),
             configuration_version=self.version(),
             store_reached=self.mirror.ready and not self.mirror.failing,
-            named_versions={one.model: one.version for one in self.versions()},
+            named_versions={one.model: one.version for one in self.named_versions()},
             order_holders=self.order_holders(),
             duties=self.duties(),
             members=sorted(
--- a/src/wigeonfront/api/requests.py
+++ b/src/wigeonfront/api/requests.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from wigeonfront.accounts import Admitted
-from wigeonfront.api.callers import Callers, scoped
+from wigeonfront.api.authentication import CallAuthenticator, scoped_id
 from wigeonfront.api.errors import Refused
 from wigeonfront.api.lots import EngineHeaders, named_route
 from wigeonfront.api.messages import OutcomeBody, RequestBody, RequestReply, decode_body
@@ -52,7 +52,7 @@
     streams : StreamForwarder
     keyed : KeyedRequests
     engines : EngineHeaders
-    callers : Callers
+    authenticator : CallAuthenticator
     clock : Clock
     """
 
@@ -62,14 +62,14 @@
         streams: StreamForwarder,
         keyed: KeyedRequests,
         engines: EngineHeaders,
-        callers: Callers,
+        authenticator: CallAuthenticator,
         clock: Clock,
     ) -> None:
         self._forwarder = forwarder
         self._streams = streams
         self._keyed = keyed
         self._engines = engines
-        self._callers = callers
+        self._authenticator = authenticator
         self._clock = clock
 
     def answer(self, call: RawCall, configuration: Configuration) -> None:
@@ -84,7 +84,7 @@
             RouteKind.STREAMING,
         )
         id = call.header(REQUEST_HEADER) or secrets.token_hex(8)
-        admitted = self._callers.admit(call, configuration, [route])
+        admitted = self._authenticator.admit(call, configuration, [route])
         request = self._forwarded(id, body, route, admitted)
         deadline = started + min(body.timeout, route.timeout)
         if route.kind is RouteKind.STREAMING:
@@ -94,7 +94,7 @@
         if not key or route.repeatable:
             ended = self._forwarder.forward(request, route, deadline, call.socket)
         else:
-            scope = scoped(admitted, configuration, key)
+            scope = scoped_id(admitted, configuration, key)
             ended = self._run_once(request, route, deadline, scope)
         if isinstance(ended, DropRequest):
             call.abort()
--- a/src/wigeonfront/client/trainer.py
+++ b/src/wigeonfront/client/trainer.py
@@ -6,7 +6,7 @@
 from itertools import count
 from urllib.parse import quote
 
-from wigeonfront.api.lots import ACKNOWLEDGE_PATH, LOTS_PATH, MOST_WAIT_SECONDS
+from wigeonfront.api.lots import ACKNOWLEDGE_PATH, LOTS_PATH, MAX_WAIT_SECONDS
 from wigeonfront.api.messages import (
     LotAccepted,
     LotBody,
@@ -200,7 +200,7 @@
     def _page(
         self, lot: Lot, after: int, deadline: Deadline
     ) -> Answer | NotSent | Lost:
-        wait = max(0.0, min(MOST_WAIT_SECONDS, deadline.remaining))
+        wait = max(0.0, min(MAX_WAIT_SECONDS, deadline.remaining))
         names = "/".join(quote(name, safe="") for name in (self._trainer, lot.lot))
         path = f"{LOTS_PATH}/{names}?after={after}&wait={wait:.3f}"
         return self._entries.call("GET", path, None, wait + GRACE_SECONDS + 1.0)
--- a/src/wigeonfront/commands/catalogue.py
+++ b/src/wigeonfront/commands/catalogue.py
@@ -161,7 +161,7 @@
 
 def _redacted(document: dict[str, Any]) -> dict[str, Any]:
     """Return a document with its keys as entries show them."""
-    data = PlatformCatalogue().redacted(json.dumps(document).encode())
+    data = PlatformCatalogue().redact_keys(json.dumps(document).encode())
     return json.loads(data)
 
 
--- a/src/wigeonfront/node/interface.py
+++ b/src/wigeonfront/node/interface.py
@@ -6,7 +6,7 @@
 
 from wigeonfront.accounts.gate import AccountGate
 from wigeonfront.api import ApiFront
-from wigeonfront.api.callers import Callers
+from wigeonfront.api.authentication import CallAuthenticator
 from wigeonfront.api.lots import LotCalls
 from wigeonfront.api.messages import DutyStatus
 from wigeonfront.api.operations import CatalogueCalls, Deployment, OperatorCalls
@@ -66,14 +66,19 @@
 def make_api(parts: InterfaceParts) -> ApiFront:
     """Return the interface, which remembers the log from now on."""
     samples = PlatformSamples()
-    callers = Callers(parts.gate)
+    authenticator = CallAuthenticator(parts.gate)
     requests = RequestCalls(
-        parts.forwarder, parts.streams, _keyed(parts), samples, callers, parts.clock
+        parts.forwarder,
+        parts.streams,
+        _keyed(parts),
+        samples,
+        authenticator,
+        parts.clock,
     )
     return ApiFront(
         lambda: parts.configuration.current,
         parts.ready,
-        LotCalls(parts.lots, samples, callers, parts.clock),
+        LotCalls(parts.lots, samples, authenticator, parts.clock),
         requests,
         _catalogue(parts),
         _operations(parts),
@@ -109,7 +114,7 @@
         version=lambda: parts.configuration.version,
         members=parts.view.members,
         mirror=parts.view.live,
-        versions=parts.configuration.versions,
+        named_versions=parts.configuration.versions,
         order_holders=lambda: parts.assigning.holders,
         duties=lambda: [_duty(one, parts.assigning) for one in parts.duties],
         services=parts.configuration.services,
--- a/src/wigeonfront/platform/catalogue.py
+++ b/src/wigeonfront/platform/catalogue.py
@@ -30,15 +30,15 @@
             return BadDocument(found.reason)
         return found
 
-    def redacted(self, value: bytes) -> bytes:
+    def redact_keys(self, value: bytes) -> bytes:
         """Return a document with fingerprints in place of keys."""
         return _with_keys(value, _mark)
 
-    def names_fingerprints(self, value: bytes) -> bool:
+    def contains_fingerprints(self, value: bytes) -> bool:
         """Tell whether a document names a key by its fingerprint."""
         return any(key.startswith(FINGERPRINT_MARK) for key in _keys(value))
 
-    def restored(self, value: bytes, present: bytes) -> bytes | BadDocument:
+    def restore_keys(self, value: bytes, present: bytes) -> bytes | BadDocument:
         """Return a document with the keys that its fingerprints stand for.
 
         Parameters
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -162,7 +162,7 @@
     path = file(keyed_catalogue(2))
     assert run("catalogue", "apply", path) == exit_codes.OK
     shown = run.json("catalogue", "get")["document"]
-    mark = PlatformCatalogue().redacted(file(keyed_catalogue(2)).read_bytes())
+    mark = PlatformCatalogue().redact_keys(file(keyed_catalogue(2)).read_bytes())
     assert shown == json.loads(mark)
     assert run("catalogue", "diff", path) == exit_codes.OK
     shown["version"] = 3
