--- a/src/wigeonfront/api/__init__.py
+++ b/src/wigeonfront/api/__init__.py
@@ -1,7 +1,8 @@
-"""The product's own interface, ``/v1``, on an entry; it starts no tasks.
+"""The HTTP API of an entry under ``/v1``.
 
-`front` finds the call, `lots`, `requests` and `operations` answer it, and `messages`
-are its bodies. The core is the same as behind the platform's front.
+`front` dispatches a call by its method and path; `lots`, `requests`, `operations` and
+`quarantine` answer it; `messages` defines the bodies. Behind the API stands the same
+core as behind the platform's front. The package starts no background tasks.
 """
 
 from wigeonfront.api.front import ApiFront
--- a/src/wigeonfront/api/authentication.py
+++ b/src/wigeonfront/api/authentication.py
@@ -1,11 +1,11 @@
-"""Finds the client account of a call of ``/v1``."""
+"""Finds the client account of a call to ``/v1``."""
 
 from collections.abc import Iterable
 from functools import singledispatch
 
 from wigeonfront.accounts import Admission, Admitted, Unauthenticated, Undecided
 from wigeonfront.accounts.gate import AccountGate
-from wigeonfront.api.errors import Refused
+from wigeonfront.api.errors import ApiError
 from wigeonfront.configuration import Configuration, Route, RouteKind
 from wigeonfront.http.raw import RawCall
 from wigeonfront.rollout.scope import scoped_name
@@ -14,11 +14,12 @@
 
 
 class CallAuthenticator:
-    """Admits calls.
+    """Decides for which client account a call is made.
 
     Parameters
     ----------
     gate : AccountGate
+        Checks the API key of a call.
     """
 
     def __init__(self, gate: AccountGate) -> None:
@@ -27,12 +28,15 @@
     def admit(
         self, call: RawCall, configuration: Configuration, routes: Iterable[Route]
     ) -> Admitted:
-        """Return the account that a call over `routes` is made for.
+        """Return the account for which a call that uses `routes` is made.
+
+        A call that uses only public routes needs no account.
 
         Raises
         ------
-        Refused
-            Where the call has no account and needs one.
+        ApiError
+            If the call needs an account and has none, or if the configuration is too
+            old to decide on its API key.
         """
         admission = self._gate.check(
             configuration.accounts,
@@ -43,19 +47,25 @@
         return _admitted(admission)
 
     def lot_id(self, call: RawCall, configuration: Configuration, name: str) -> str:
-        """Return the id of a Lot that the caller has submitted before as `name`.
+        """Return the id under which the caller's account submitted the Lot `name`.
 
         Raises
         ------
-        Refused
+        ApiError
             As for `admit`.
         """
-        routes = [one for one in configuration.routes if one.kind is RouteKind.LOTS]
+        routes = [
+            route for route in configuration.routes if route.kind is RouteKind.LOTS
+        ]
         return scoped_id(self.admit(call, configuration, routes), configuration, name)
 
 
 def scoped_id(admitted: Admitted, configuration: Configuration, name: str) -> str:
-    """Return the id of what a caller calls `name`; other accounts have their own."""
+    """Return the id of what the caller's account names `name`.
+
+    Where the configuration has accounts, the same name stands for different things in
+    different accounts, so the id contains the account.
+    """
     if configuration.accounts is None:
         return name
     return scoped_name(admitted.account, name)
@@ -74,9 +84,9 @@
 @_admitted.register
 def _(admission: Unauthenticated) -> Admitted:
     challenge = (("WWW-Authenticate", "Bearer"),)
-    raise Refused(401, "no_account", admission.reason, headers=challenge)
+    raise ApiError(401, "no_account", admission.reason, headers=challenge)
 
 
 @_admitted.register
 def _(admission: Undecided) -> Admitted:
-    raise Refused(503, "not_ready", admission.reason, admission.retry_after)
+    raise ApiError(503, "not_ready", admission.reason, admission.retry_after)
--- a/src/wigeonfront/api/errors.py
+++ b/src/wigeonfront/api/errors.py
@@ -1,4 +1,4 @@
-"""Calls of ``/v1`` that are not taken."""
+"""Errors with which calls to ``/v1`` are answered."""
 
 from collections.abc import Iterable
 
@@ -6,19 +6,23 @@
 from wigeonfront.http.raw import RawCall
 
 
-class Refused(Exception):  # noqa: N818
-    """A call that is answered with an error; raised before anything was done.
+class ApiError(Exception):
+    """An error with which a call is answered.
+
+    It is raised instead of a reply, so no part of a reply has been sent before it.
 
     Parameters
     ----------
     status : int
+        HTTP status.
     error : str
-        A short word for programs.
+        Short error code for programs.
     detail : str
+        Explanation for people.
     retry_after : float
-        Seconds; 0 to give none.
+        Seconds after which the caller may retry; 0 sends no ``Retry-After`` header.
     headers : iterable of pairs
-        Further headers of the answer.
+        Additional headers of the answer.
     """
 
     def __init__(
@@ -35,9 +39,9 @@
         self.reply = ErrorReply(error, detail, retry_after)
 
     def answer(self, call: RawCall) -> None:
-        """Send the error."""
-        after = self.reply.retry_after
+        """Send the error as the answer to `call`."""
+        retry_after = self.reply.retry_after
         headers = [*self.headers]
-        if after:
-            headers.append(("Retry-After", f"{after:g}"))
+        if retry_after:
+            headers.append(("Retry-After", f"{retry_after:g}"))
         call.reply_json(self.status, self.reply, headers)
--- a/src/wigeonfront/api/front.py
+++ b/src/wigeonfront/api/front.py
@@ -1,11 +1,11 @@
-"""Finds what a call of ``/v1`` asks for, and answers errors alike."""
+"""Dispatches the calls to ``/v1`` to their handlers and answers their errors."""
 
 import logging
 from collections.abc import Callable
 
-from wigeonfront.api.errors import Refused
+from wigeonfront.api.errors import ApiError
 from wigeonfront.api.lots import ACKNOWLEDGE_PATH, LOTS_PATH, LotCalls
-from wigeonfront.api.messages import BadBody
+from wigeonfront.api.messages import BodyError
 from wigeonfront.api.operations import (
     CATALOGUE_PATH,
     DRAIN_PATH,
@@ -24,21 +24,22 @@
 
 logger = logging.getLogger(__name__)
 
-UNREADY_SECONDS = 0.5
+UNREADY_RETRY_SECONDS = 0.5
+"""Value of ``Retry-After`` while the entry is not ready."""
 
-Answer = Callable[[RawCall], None]
-ConfiguredAnswer = Callable[[RawCall, Configuration], None]
+Handler = Callable[[RawCall], None]
+ConfiguredHandler = Callable[[RawCall, Configuration], None]
 
 
 class ApiFront:
-    """Answers the calls of ``/v1``.
+    """Answers the calls to ``/v1``, ``/health`` and ``/ready``.
 
     Parameters
     ----------
     configuration : callable
         Returns the configuration in force, or ``None`` before the first is known.
     ready : callable
-        Tells whether callers may be sent here.
+        Returns whether callers may be sent to this entry.
     lots : LotCalls
     requests : RequestCalls
     catalogue : CatalogueCalls
@@ -59,13 +60,13 @@
         self._configuration = configuration
         self._ready = ready
         self._lots = lots
-        self._configured: dict[tuple[str, str], ConfiguredAnswer] = {
+        self._configured: dict[tuple[str, str], ConfiguredHandler] = {
             ("POST", LOTS_PATH): lots.submit,
             ("POST", ACKNOWLEDGE_PATH): lots.acknowledge,
             ("POST", REQUESTS_PATH): requests.answer,
         }
-        self._lot_reads: ConfiguredAnswer = lots.read
-        self._plain: dict[tuple[str, str], Answer] = {
+        self._read_lot: ConfiguredHandler = lots.read
+        self._exact: dict[tuple[str, str], Handler] = {
             ("GET", CATALOGUE_PATH): catalogue.get,
             ("PUT", CATALOGUE_PATH): catalogue.put,
             ("GET", HISTORY_PATH): catalogue.history,
@@ -73,10 +74,10 @@
             ("GET", STATUS_PATH): operators.status,
             ("POST", DRAIN_PATH): operators.drain,
             ("GET", QUARANTINE_PATH): quarantine.show,
-            ("GET", "/health"): _alive,
+            ("GET", "/health"): _answer_health,
             ("GET", "/ready"): self._answer_ready,
         }
-        self._below: dict[tuple[str, str], Answer] = {
+        self._by_prefix: dict[tuple[str, str], Handler] = {
             ("GET", EXPLAIN_PATH): operators.explain,
             ("DELETE", QUARANTINE_PATH + "/"): quarantine.release,
         }
@@ -85,43 +86,43 @@
         """Answer one call."""
         try:
             self._answer(call)
-        except Refused as refused:
-            refused.answer(call)
-        except BadBody as bad:
-            Refused(400, "bad_body", str(bad)).answer(call)
+        except ApiError as error:
+            error.answer(call)
+        except BodyError as error:
+            ApiError(400, "bad_body", str(error)).answer(call)
         except BodyTooLarge:
-            Refused(413, "body_too_large").answer(call)
+            ApiError(413, "body_too_large").answer(call)
         event(logger, "api_call", method=call.method, path=call.path)
 
     def _answer(self, call: RawCall) -> None:
-        asked = call.method, call.path
-        configured = self._find_configured(call)
-        if configured is not None:
+        method_and_path = call.method, call.path
+        handler = self._find_configured(call)
+        if handler is not None:
             configuration = self._configuration()
             if configuration is None:
-                raise Refused(503, "not_ready", "", UNREADY_SECONDS)
-            configured(call, configuration)
-        elif asked in self._plain:
-            self._plain[asked](call)
+                raise ApiError(503, "not_ready", "", UNREADY_RETRY_SECONDS)
+            handler(call, configuration)
+        elif method_and_path in self._exact:
+            self._exact[method_and_path](call)
         else:
-            self._find_below(call)(call)
+            self._find_by_prefix(call)(call)
 
-    def _find_configured(self, call: RawCall) -> ConfiguredAnswer | None:
+    def _find_configured(self, call: RawCall) -> ConfiguredHandler | None:
         if call.method == "GET" and call.path.startswith(LOTS_PATH + "/"):
-            return self._lot_reads
+            return self._read_lot
         return self._configured.get((call.method, call.path))
 
-    def _find_below(self, call: RawCall) -> Answer:
-        for (method, prefix), answer in self._below.items():
+    def _find_by_prefix(self, call: RawCall) -> Handler:
+        for (method, prefix), handler in self._by_prefix.items():
             if call.method == method and call.path.startswith(prefix):
-                return answer
-        raise Refused(404, "no_such_call", f"{call.method} {call.path[:100]}")
+                return handler
+        raise ApiError(404, "no_such_call", f"{call.method} {call.path[:100]}")
 
     def _answer_ready(self, call: RawCall) -> None:
         if not self._ready():
-            raise Refused(503, "not_ready", "", UNREADY_SECONDS)
+            raise ApiError(503, "not_ready", "", UNREADY_RETRY_SECONDS)
         call.reply(200)
 
 
-def _alive(call: RawCall) -> None:
+def _answer_health(call: RawCall) -> None:
     call.reply(200)
--- a/src/wigeonfront/api/lots.py
+++ b/src/wigeonfront/api/lots.py
@@ -1,4 +1,4 @@
-"""The calls of ``/v1`` about Lots."""
+"""The calls to ``/v1`` about Lots: submission, results and acknowledgement."""
 
 from typing import Protocol
 from urllib.parse import parse_qs, quote, unquote
@@ -7,7 +7,7 @@
 
 from wigeonfront.accounts import Admitted
 from wigeonfront.api.authentication import CallAuthenticator, scoped_id
-from wigeonfront.api.errors import Refused
+from wigeonfront.api.errors import ApiError
 from wigeonfront.api.messages import (
     LotAccepted,
     LotBody,
@@ -28,33 +28,42 @@
 ACKNOWLEDGE_PATH = "/v1/lots/acknowledge"
 
 MAX_WAIT_SECONDS = 2.0
-"""Longest wait of a reading for a result: a connection that has gone silent is found
-out soon after."""
+"""Longest time for which a read waits for a result. It is short so that the trainer
+soon detects a connection that has gone silent."""
 
 PAGE_BYTES = 900_000
-"""Text in one page of results."""
+"""Longest text of a page of results; only its first result may exceed it alone."""
 
 RETRY_SECONDS = 0.3
 
 ACCEPTED = 202
 SEPARATOR = "!"
-"""Between the parts of an id; each part is quoted, so that it stands in none."""
+"""Separates the parts of an id. Each part is percent-encoded, ``!`` included, so
+no part contains the separator."""
 
 
 class EngineHeaders(Protocol):
-    """What a sample tells its engine beside its body; the platform's adapter knows."""
+    """Makes the headers that a request to an engine needs; platform-specific."""
 
     def sample_headers(self, model: str, expected_tokens: int, body: bytes) -> Headers:
-        """Return the headers of a sample."""
+        """Return the headers of a request for `model`.
+
+        Parameters
+        ----------
+        model : str
+        expected_tokens : int
+            Expected number of generated tokens; 0 if unknown.
+        body : bytes
+        """
 
 
 def lot_id(trainer: str, lot: str) -> str:
-    """Return the id under which the Lot of a trainer is kept."""
+    """Return the id of a trainer's Lot from their names."""
     return f"{quote(trainer, safe='')}{SEPARATOR}{quote(lot, safe='')}"
 
 
 class LotCalls:
-    """Answers trainers.
+    """Answers the calls of trainers.
 
     Parameters
     ----------
@@ -77,52 +86,56 @@
         self._clock = clock
 
     def submit(self, call: RawCall, configuration: Configuration) -> None:
-        """Keep a Lot and run it; 202 also where it is kept already."""
+        """Store a Lot and run it; answer 202 also if it is stored already."""
         body = decode_body(call.body(configuration.limits.body_bytes), LotBody)
         route = named_route(configuration, body.route, RouteKind.LOTS)
         admitted = self._authenticator.admit(call, configuration, [route])
         id = scoped_id(admitted, configuration, lot_id(body.trainer, body.lot))
         if self._lots.knows(id) and self._lots.ended(id):
-            raise Refused(410, "already_delivered")
-        lot = self._lot(id, body, route, configuration, admitted)
+            raise ApiError(410, "already_delivered")
+        lot = self._make_lot(id, body, route, configuration, admitted)
         outcome = self._lots.submit(lot)
         if outcome == answers.Accepted(already_kept=True) and self._lots.ended(id):
-            raise Refused(410, "already_delivered")
+            raise ApiError(410, "already_delivered")
         if isinstance(outcome, answers.LotRefused):
-            raise Refused(503, "not_run", outcome.reason, RETRY_SECONDS)
+            raise ApiError(503, "not_run", outcome.reason, RETRY_SECONDS)
         if isinstance(outcome, answers.LotUncertain):
-            raise Refused(504, "unknown", outcome.reason, RETRY_SECONDS)
+            raise ApiError(504, "unknown", outcome.reason, RETRY_SECONDS)
         call.reply_json(ACCEPTED, LotAccepted(body.lot, len(lot.samples)))
 
     def read(self, call: RawCall, configuration: Configuration) -> None:
-        """Answer with results from a position on, waiting for one if asked to."""
-        name = _id_of(call.path.removeprefix(LOTS_PATH + "/"))
+        """Answer with the results from position `after` on.
+
+        If there is none yet, wait up to `wait` seconds for a result. The query gives
+        `after` and `wait`.
+        """
+        name = _parse_lot_path(call.path.removeprefix(LOTS_PATH + "/"))
         id = self._authenticator.lot_id(call, configuration, name)
         query = parse_qs(call.query)
-        after = int(_number(query, "after"))
-        wait = min(_number(query, "wait"), MAX_WAIT_SECONDS)
+        after = int(_parse_number(query, "after"))
+        wait = min(_parse_number(query, "wait"), MAX_WAIT_SECONDS)
         page = self._lots.read(id, after, wait)
         if not isinstance(page, answers.LotPage):
-            raise _unreadable(page)
+            raise _lot_error(page)
         results: list[SampleResult] = []
         size = 0
         for result in page.results:
             size += len(result.text)
             if results and size > PAGE_BYTES:
                 break
-            results.append(_result(result))
+            results.append(_encode_result(result))
         call.reply_json(200, LotPage(page.total, results, after + len(results)))
 
     def acknowledge(self, call: RawCall, configuration: Configuration) -> None:
-        """End a Lot whose results the trainer has."""
+        """End a Lot, because the trainer has its results."""
         body = decode_body(call.body(configuration.limits.body_bytes), LotName)
         name = lot_id(body.trainer, body.lot)
         outcome = self._lots.end(self._authenticator.lot_id(call, configuration, name))
         if not isinstance(outcome, answers.Accepted):
-            raise _unreadable(outcome)
+            raise _lot_error(outcome)
         call.reply_json(200, body)
 
-    def _lot(
+    def _make_lot(
         self,
         id: str,
         body: LotBody,
@@ -130,12 +143,12 @@
         configuration: Configuration,
         admitted: Admitted,
     ) -> Lot:
-        names = {one.sample for one in body.samples}
+        names = {sample.sample for sample in body.samples}
         if len(names) != len(body.samples):
-            raise Refused(422, "bad_field", "a sample's name stands twice")
+            raise ApiError(422, "bad_field", "two samples have the same name")
         samples = tuple(
-            self._sample(id, one, body.model, route, configuration)
-            for one in body.samples
+            self._make_sample(id, sample, body.model, route, configuration)
+            for sample in body.samples
         )
         return Lot(
             id=id,
@@ -153,7 +166,7 @@
             account=admitted.account,
         )
 
-    def _sample(
+    def _make_sample(
         self,
         lot: str,
         body: SampleBody,
@@ -172,62 +185,64 @@
             group=body.group,
             model=model,
             expected_tokens=body.max_tokens,
-            reward_call=_reward_call(f"{lot}{SEPARATOR}{name}", body, configuration),
+            reward_call=_make_reward_call(
+                f"{lot}{SEPARATOR}{name}", body, configuration
+            ),
         )
 
 
 def named_route(configuration: Configuration, name: str, *kinds: RouteKind) -> Route:
-    """Return the route of that name and of one of the kinds.
+    """Return the route with the name `name`, if it is of one of `kinds`.
 
     Raises
     ------
-    Refused
-        Where there is none.
+    ApiError
+        If there is no such route.
     """
     for route in configuration.routes:
         if route.name == name and route.kind in kinds:
             return route
-    raise Refused(404, "no_route", name)
+    raise ApiError(404, "no_route", name)
 
 
-def _reward_call(
+def _make_reward_call(
     sample: str, body: SampleBody, configuration: Configuration
 ) -> RewardCall | None:
-    asked = body.reward_call
-    if asked is None:
+    reward = body.reward_call
+    if reward is None:
         return None
-    route = named_route(configuration, asked.route, RouteKind.IDEMPOTENT)
-    path = route.prefix + quote(asked.path, safe="/")
-    data = msgspec.json.encode(asked.payload)
+    route = named_route(configuration, reward.route, RouteKind.IDEMPOTENT)
+    path = route.prefix + quote(reward.path, safe="/")
+    data = msgspec.json.encode(reward.payload)
     return RewardCall(f"{sample}{SEPARATOR}score", route.host, path, data)
 
 
-def _result(result: answers.SampleResult) -> SampleResult:
+def _encode_result(result: answers.SampleResult) -> SampleResult:
     name = unquote(result.id.rpartition(SEPARATOR)[2])
     kind = "completed" if result.completed else "given_up"
     text = result.text.decode("utf-8", "replace")
     return SampleResult(name, kind, text, result.versions, result.score)
 
 
-def _id_of(path: str) -> str:
+def _parse_lot_path(path: str) -> str:
     trainer, _, lot = path.partition("/")
     if not trainer or not lot or "/" in lot:
-        raise Refused(404, "no_such_call")
+        raise ApiError(404, "no_such_call")
     return lot_id(unquote(trainer), unquote(lot))
 
 
-def _number(query: dict[str, list[str]], name: str) -> float:
+def _parse_number(query: dict[str, list[str]], name: str) -> float:
     text = query.get(name, ["0"])[-1]
     try:
         number = float(text)
     except ValueError:
-        raise Refused(400, "bad_field", f"{name}: {text[:50]}") from None
+        raise ApiError(400, "bad_field", f"{name}: {text[:50]}") from None
     if not 0 <= number < float("inf"):
-        raise Refused(400, "bad_field", f"{name}: {text[:50]}")
+        raise ApiError(400, "bad_field", f"{name}: {text[:50]}")
     return number
 
 
-def _unreadable(outcome: object) -> Refused:
+def _lot_error(outcome: object) -> ApiError:
     if isinstance(outcome, answers.LotUnknown):
-        return Refused(404, "no_such_lot")
-    return Refused(503, "unavailable", getattr(outcome, "reason", ""), RETRY_SECONDS)
+        return ApiError(404, "no_such_lot")
+    return ApiError(503, "unavailable", getattr(outcome, "reason", ""), RETRY_SECONDS)
--- a/src/wigeonfront/api/messages.py
+++ b/src/wigeonfront/api/messages.py
@@ -1,19 +1,29 @@
-"""Bodies of the calls of ``/v1``, checked as they are decoded."""
+"""The bodies of calls to ``/v1`` and of their answers, validated when decoded."""
 
 from typing import Annotated, Any, TypeVar
 
 import msgspec
 
-MOST_SECONDS = 86_400
+MAX_TIMEOUT_SECONDS = 86_400
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-Seconds = Annotated[float, msgspec.Meta(gt=0, le=MOST_SECONDS)]
+Seconds = Annotated[float, msgspec.Meta(gt=0, le=MAX_TIMEOUT_SECONDS)]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Tokens = Annotated[int, msgspec.Meta(ge=0, le=10_000_000)]
 
 
 class RewardBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The request that scores a sample: a route's name, a path below it, JSON data."""
+    """The request that scores a sample.
+
+    Attributes
+    ----------
+    route : str
+        Name of the route.
+    path : str
+        Path below the route's prefix.
+    payload : Any
+        JSON data that the target gets.
+    """
 
     route: Name
     path: str = ""
@@ -26,14 +36,16 @@
     Attributes
     ----------
     sample : str
-        Unique within the Lot.
+        Name of the sample, unique within the Lot.
     payload : Any
         JSON data that the engine gets.
     group : str
-        Samples of one group share a prompt and count only together.
+        Name of the sample's group. Samples of one group share a prompt and count only
+        together; empty if the sample is a group by itself.
     max_tokens : int
-        Tokens that it is expected to generate at most; 0 if unknown.
+        Expected upper bound of the number of generated tokens; 0 if unknown.
     reward_call : RewardBody or None
+        Request that scores the sample; ``None`` if the sample needs no score.
     """
 
     sample: Name
@@ -44,23 +56,24 @@
 
 
 class LotBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A Lot.
+    """A Lot to submit.
 
     Attributes
     ----------
     trainer, lot : str
-        Together they name the Lot for ever.
+        Names that identify the Lot together; they are never used for another Lot.
     route : str
-        By its name in the configuration.
+        Name of the route in the configuration.
     model : str
+    samples : list of SampleBody
     version : int
-        The trainer's present version of the weights.
+        Current weight version of the trainer.
     bound : int
-        Versions that a sample's weights may be older.
+        Number of versions by which a sample's weights may be older than `version`.
     wanted_groups : int
-        Groups that the trainer waits for; 0 for all.
+        Number of groups that the trainer waits for; 0 for all.
     timeout : float or None
-        Seconds after which samples may be given up; by the route if not given.
+        Seconds after which samples may be given up; ``None`` for the route's limit.
     """
 
     trainer: Name
@@ -75,14 +88,35 @@
 
 
 class LotAccepted(msgspec.Struct, frozen=True):
-    """The Lot is kept and runs."""
+    """The answer to a submission: the Lot is stored and will run.
+
+    Attributes
+    ----------
+    lot : str
+        Name of the Lot.
+    samples : int
+        Number of its samples.
+    """
 
     lot: str
     samples: int
 
 
 class SampleResult(msgspec.Struct, frozen=True):
-    """What became of a sample: ``completed`` or ``given_up``."""
+    """The result of a sample.
+
+    Attributes
+    ----------
+    sample : str
+        Name of the sample.
+    kind : str
+        ``completed`` or ``given_up``.
+    text : str
+    versions : tuple of int
+        Weight versions that generated the text.
+    score : str
+        Answer of the reward call; empty if the sample has none.
+    """
 
     sample: str
     kind: str
@@ -92,7 +126,16 @@
 
 
 class LotPage(msgspec.Struct, frozen=True):
-    """Results from a position on; `next` is the position behind them."""
+    """Results of a Lot from a requested position on.
+
+    Attributes
+    ----------
+    total : int
+        Number of samples of the Lot.
+    results : list of SampleResult
+    next : int
+        Position of the first result after this page.
+    """
 
     total: int
     results: list[SampleResult]
@@ -100,16 +143,29 @@
 
 
 class LotName(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Names a Lot that is acknowledged."""
+    """The names of a Lot that the trainer acknowledges."""
 
     trainer: Name
     lot: Name
 
 
 class RequestBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A request: a route's name, a path below it, JSON data.
+    """A single request.
 
-    `model` and `max_tokens` go with requests to engines.
+    Attributes
+    ----------
+    route : str
+        Name of the route in the configuration.
+    path : str
+        Path below the route's prefix.
+    payload : Any
+        JSON data that the target gets.
+    timeout : float
+        Seconds until the deadline; the route's timeout applies as well.
+    model : str
+        Model of the engine; empty for plain services.
+    max_tokens : int
+        Expected upper bound of the number of generated tokens; 0 if unknown.
     """
 
     route: Name
@@ -121,7 +177,7 @@
 
 
 class OutcomeBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a request ended; see `wigeonfront.outcomes`."""
+    """The outcome of a request, see `wigeonfront.outcomes`."""
 
     kind: str
     payload: Any = None
@@ -132,14 +188,24 @@
 
 
 class RequestReply(msgspec.Struct, frozen=True):
-    """The answer to a request."""
+    """The answer to a request: its id and its outcome."""
 
     request: str
     outcome: OutcomeBody
 
 
 class ErrorReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A call that was not taken, and why."""
+    """The answer to a call that failed.
+
+    Attributes
+    ----------
+    error : str
+        Short error code for programs.
+    detail : str
+        Explanation for people.
+    retry_after : float
+        Seconds after which the caller may retry; 0 if not given.
+    """
 
     error: str
     detail: str = ""
@@ -147,7 +213,7 @@
 
 
 class CatalogueReply(msgspec.Struct, frozen=True):
-    """The configuration's document, its version and the revision of its row."""
+    """The stored configuration document, its version and the revision of its row."""
 
     version: int
     revision: int
@@ -155,21 +221,28 @@
 
 
 class CatalogueChange(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A document to be written over the row at `expected`."""
+    """A new configuration document.
+
+    Attributes
+    ----------
+    expected : int
+        Revision of the row that the document replaces; another revision is a conflict.
+    document : msgspec.Raw
+    """
 
     expected: Count
     document: msgspec.Raw
 
 
 class CatalogueStored(msgspec.Struct, frozen=True):
-    """The change is written; entries take it within seconds."""
+    """The change is stored; the entries use it within seconds."""
 
     version: int
     revision: int
 
 
 class CatalogueVersion(msgspec.Struct, frozen=True):
-    """A version that was applied, and what it held."""
+    """A version of the configuration that was stored, with its document."""
 
     version: int
     revision: int
@@ -177,7 +250,16 @@
 
 
 class InForceReply(msgspec.Struct, frozen=True):
-    """Which entries use a version, and which don't or didn't say."""
+    """Which entries use a version of the configuration.
+
+    Attributes
+    ----------
+    version : int
+    in_force : list of str
+        Names of the entries that use `version` or a newer one.
+    behind : list of str
+        Names of the entries that use an older one or did not answer.
+    """
 
     version: int
     in_force: list[str]
@@ -185,7 +267,14 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """An entry that lives."""
+    """A live entry.
+
+    Attributes
+    ----------
+    name, address, failure_domain : str
+    leaving : bool
+        Whether the entry is about to stop.
+    """
 
     name: str
     address: str
@@ -194,7 +283,20 @@
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
-    """A target as this entry sees it."""
+    """A target as this entry sees it.
+
+    Attributes
+    ----------
+    id, service, address, failure_domain : str
+    draining : bool
+    available : bool
+    in_flight : int
+        Requests of this entry that the target runs.
+    others : int
+        Runs that other owners of Lots have on the target, as far as known.
+    versions : dict of str to int
+        Weight version for each model.
+    """
 
     id: str
     service: str
@@ -208,7 +310,18 @@
 
 
 class LotStatus(msgspec.Struct, frozen=True):
-    """A Lot that an entry knows."""
+    """A Lot that an entry knows.
+
+    Attributes
+    ----------
+    lot : str
+        Id of the Lot.
+    owner : str
+        Incarnation of the entry that runs the Lot; empty for none.
+    state : str
+    samples : int
+        Number of its samples.
+    """
 
     lot: str
     owner: str
@@ -217,17 +330,17 @@
 
 
 class DutyStatus(msgspec.Struct, frozen=True):
-    """A duty of one machine at a time.
+    """A duty that one VM holds at a time.
 
     Attributes
     ----------
     duty : str
     holder : str
-        Empty while it moves from one machine to another.
+        Name of the VM; empty while the duty moves from one VM to another.
     token : int
-        Fencing token of what is done under the agreed row.
+        Fencing token of the duty: the revision of the assignment row.
     last : int
-        Newest window of usage that was taken from this entry; 0 for none.
+        Newest usage window that the platform has accepted from this entry; 0 for none.
     """
 
     duty: str
@@ -237,7 +350,27 @@
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """What an entry knows of the deployment."""
+    """What an entry knows about the deployment.
+
+    Attributes
+    ----------
+    name : str
+        Name of the entry.
+    ready : bool
+        Whether callers may be sent to the entry.
+    configuration_version : int
+        Version of the configuration that the entry uses.
+    store_reached : bool
+        Whether the entry can reach the store.
+    named_versions : dict of str to int
+        For each model, the newest weight version that was named to the entry.
+    order_holders : list of str
+        Names of the VMs that may send orders to engines.
+    duties : list of DutyStatus
+    members : list of MemberStatus
+    targets : list of TargetStatus
+    lots : list of LotStatus
+    """
 
     name: str
     ready: bool
@@ -252,21 +385,22 @@
 
 
 class SuspectStatus(msgspec.Struct, frozen=True):
-    """A request under which targets have crashed.
+    """A request that targets were running when they crashed.
 
     Attributes
     ----------
     fingerprint : str
     request : str
-        Method, host and path of the last one.
+        Method, host and path of the request at the last crash.
     account : str
     service : str
     crashes : int
-        Targets that crashed.
+        Number of targets that crashed.
     last_crash : float
         Unix time in seconds.
     blocked_seconds : float
-        Time for which it is not sent to targets; 0 if it is.
+        Time left in quarantine, during which the request is not sent to targets; 0 if
+        it is not quarantined.
     """
 
     fingerprint: str
@@ -279,19 +413,19 @@
 
 
 class QuarantineReply(msgspec.Struct, frozen=True):
-    """Requests under which targets have crashed, those with most crashes first."""
+    """Requests that targets were running when they crashed, most crashes first."""
 
     suspects: list[SuspectStatus]
 
 
 class ReleasedReply(msgspec.Struct, frozen=True):
-    """A request whose crashes are forgotten."""
+    """The fingerprint of a request whose crash records were removed."""
 
     released: str
 
 
 class EventsReply(msgspec.Struct, frozen=True):
-    """Log lines of a request that the entry still remembers."""
+    """Log events about a request, sample or Lot that the entry still remembers."""
 
     events: list[dict[str, str]]
 
@@ -299,19 +433,19 @@
 Body = TypeVar("Body")
 
 
-class BadBody(Exception):  # noqa: N818
-    """A body that is not what the call takes."""
+class BodyError(Exception):
+    """The body of a call is malformed or has fields that the call does not accept."""
 
 
 def decode_body(data: bytes, kind: type[Body]) -> Body:
-    """Return the message that `data` holds.
+    """Decode the JSON text `data` as a message of type `kind`.
 
     Raises
     ------
-    BadBody
-        With what is wrong.
+    BodyError
+        If `data` is no such message; its text says what is wrong.
     """
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BadBody(str(error)[:200]) from error
+        raise BodyError(str(error)[:200]) from error
--- a/src/wigeonfront/api/operations.py
+++ b/src/wigeonfront/api/operations.py
@@ -1,4 +1,4 @@
-"""The calls of ``/v1`` for operators: the catalogue, the status, a planned stop."""
+"""The calls to ``/v1`` for operators: the catalogue, the status and a planned stop."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from wigeonfront.api.errors import Refused
+from wigeonfront.api.errors import ApiError
 from wigeonfront.api.messages import (
     CatalogueChange,
     CatalogueReply,
@@ -49,10 +49,10 @@
 DRAIN_PATH = "/v1/drain"
 
 VERSION_PATH = "/configuration-version"
-"""At which processes ask each other for the version that they use."""
+"""Path at which an entry tells other entries which configuration version it uses."""
 
 HISTORY_PREFIX = "catalogue-history/"
-MOST_DOCUMENT_BYTES = 900_000
+MAX_DOCUMENT_BYTES = 900_000
 CONNECT_SECONDS = 0.3
 ANSWER_SECONDS = 1.0
 RETRY_SECONDS = 0.5
@@ -60,44 +60,58 @@
 
 @dataclass(frozen=True, slots=True)
 class BadDocument:
-    """A document that is no configuration."""
+    """The result of decoding a document that is not a valid configuration.
+
+    Attributes
+    ----------
+    reason : str
+    """
 
     reason: str
 
 
 class CatalogueFormat(Protocol):
-    """How the platform writes the configuration; its adapter knows."""
+    """The format in which the platform stores the configuration."""
 
     @property
     def key(self) -> str:
-        """The key of the row."""
+        """The key of the configuration's row in the store."""
 
     def decode(self, value: bytes) -> Configuration | BadDocument:
         """Return the configuration that a document holds."""
 
     def redact_keys(self, value: bytes) -> bytes:
-        """Return a document with fingerprints in place of keys."""
+        """Return a document in which fingerprints replace the API keys."""
 
     def contains_fingerprints(self, value: bytes) -> bool:
-        """Tell whether a document names a key by its fingerprint."""
+        """Return whether a document names an API key by its fingerprint."""
+
+    def restore_keys(self, value: bytes, current: bytes) -> bytes | BadDocument:
+        """Return a document in which API keys replace their fingerprints.
 
-    def restore_keys(self, value: bytes, present: bytes) -> bytes | BadDocument:
-        """Return a document with the keys that its fingerprints stand for."""
+        Parameters
+        ----------
+        value : bytes
+            The document.
+        current : bytes
+            The stored document, which contains the keys.
+        """
 
 
 class VersionServer:
-    """Tells other entries which version of the configuration is used here.
+    """Tells other entries which configuration version this entry uses.
 
     Parameters
     ----------
     version : callable
+        Returns the version of the configuration in force.
     """
 
     def __init__(self, version: Callable[[], int]) -> None:
         self._version = version
 
     def answer(self, call: RawCall) -> None:
-        """Answer one call over HTTP."""
+        """Answer an HTTP call with the version as JSON."""
         call.body(0)
         call.reply(200, msgspec.json.encode(self._version()))
 
@@ -110,7 +124,7 @@
     store : RowStore
     format : CatalogueFormat
     members : callable
-        Returns the entries that live.
+        Returns the live entries.
     version : callable
         Returns the version that this entry uses.
     me : callable
@@ -133,74 +147,81 @@
         self._pools = Pools(CONNECT_SECONDS)
 
     def get(self, call: RawCall) -> None:
-        """Answer with the newest document."""
+        """Answer with the stored document, its API keys redacted."""
         row = self._row()
         if isinstance(row, Absent):
-            raise Refused(404, "no_catalogue")
+            raise ApiError(404, "no_catalogue")
         configuration = self._format.decode(row.value)
         version = 0 if isinstance(configuration, BadDocument) else configuration.version
         document = msgspec.Raw(self._format.redact_keys(row.value))
         call.reply_json(200, CatalogueReply(version, row.revision, document))
 
     def put(self, call: RawCall) -> None:
-        """Write a document over the one that the operator has seen."""
-        change = decode_body(call.body(MOST_DOCUMENT_BYTES), CatalogueChange)
-        value = self._restored(bytes(change.document))
+        """Replace the stored document if it is still the one that the operator read."""
+        change = decode_body(call.body(MAX_DOCUMENT_BYTES), CatalogueChange)
+        value = self._restore_keys(bytes(change.document))
         configuration = self._format.decode(value)
         if isinstance(configuration, BadDocument):
-            raise Refused(422, "bad_document", configuration.reason)
+            raise ApiError(422, "bad_document", configuration.reason)
         version = configuration.version
         if version <= self._version():
-            raise Refused(422, "version_too_low", f"{self._version()} is in force")
+            raise ApiError(
+                422, "version_too_low", f"version {self._version()} is in force"
+            )
         expected = (Expect(self._format.key, change.expected),)
-        told = self._format.redact_keys(value)
-        puts = (Put(self._format.key, value), Put(_history_key(version), told))
+        redacted = self._format.redact_keys(value)
+        puts = (Put(self._format.key, value), Put(_history_key(version), redacted))
         outcome = self._store.write(expected, puts)
         if isinstance(outcome, Stored):
             call.reply_json(200, CatalogueStored(version, outcome.revision))
         elif isinstance(outcome, Mismatch):
-            raise Refused(409, "conflict", "somebody else has changed it")
+            raise ApiError(409, "conflict", "another change was stored first")
         elif isinstance(outcome, Unavailable):
-            raise Refused(503, "not_written", outcome.reason, RETRY_SECONDS)
+            raise ApiError(503, "not_written", outcome.reason, RETRY_SECONDS)
         else:
-            raise Refused(504, "unknown", "it may have been written", RETRY_SECONDS)
+            raise ApiError(
+                504, "unknown", "the change may or may not be stored", RETRY_SECONDS
+            )
+
+    def _restore_keys(self, value: bytes) -> bytes:
+        """Return a document in which API keys replace the fingerprints.
 
-    def _restored(self, value: bytes) -> bytes:
-        """Return a document with the keys that the operator could not see."""
+        Operators see fingerprints only, and may write a document that contains them.
+        """
         if not self._format.contains_fingerprints(value):
             return value
         row = self._row()
-        present = row.value if isinstance(row, Row) else b""
-        restored = self._format.restore_keys(value, present)
+        current = row.value if isinstance(row, Row) else b""
+        restored = self._format.restore_keys(value, current)
         if isinstance(restored, BadDocument):
-            raise Refused(422, "bad_document", restored.reason)
+            raise ApiError(422, "bad_document", restored.reason)
         return restored
 
     def history(self, call: RawCall) -> None:
-        """Answer with the documents that were applied, the oldest first."""
+        """Answer with the documents that were stored, oldest first."""
         listing = self._store.list(HISTORY_PREFIX)
         if isinstance(listing, Unavailable):
-            raise Refused(503, "unavailable", listing.reason, RETRY_SECONDS)
+            raise ApiError(503, "unavailable", listing.reason, RETRY_SECONDS)
         versions = [
             CatalogueVersion(_version_of(row), row.revision, msgspec.Raw(row.value))
             for row in listing.rows
         ]
-        call.reply_json(200, sorted(versions, key=lambda one: one.version))
+        call.reply_json(200, sorted(versions, key=lambda version: version.version))
 
     def in_force(self, call: RawCall) -> None:
-        """Answer which entries use a version, or a newer one."""
+        """Answer which entries use the queried version or a newer one."""
         text = parse_qs(call.query).get("version", [""])[-1]
         if not text.isdigit():
-            raise Refused(400, "bad_field", "version")
+            raise ApiError(400, "bad_field", "version")
         wanted = int(text)
         using, behind = [], []
         for member in self._members():
-            used = self._version_at(member)
-            (using if used >= wanted else behind).append(member.name)
+            version = self._version_at(member)
+            (using if version >= wanted else behind).append(member.name)
         call.reply_json(200, InForceReply(wanted, sorted(using), sorted(behind)))
 
     def _version_at(self, member: Member) -> int:
-        """Return the version that an entry uses; -1 where it does not tell."""
+        """Return the version that an entry uses; -1 if it does not answer."""
         if member.name == self._me().name:
             return self._version()
         answer = self._pools.post(member.address, VERSION_PATH, b"", ANSWER_SECONDS)
@@ -212,7 +233,7 @@
     def _row(self) -> Row | Absent:
         row = self._store.get(self._format.key)
         if isinstance(row, Unavailable):
-            raise Refused(503, "unavailable", row.reason, RETRY_SECONDS)
+            raise ApiError(503, "unavailable", row.reason, RETRY_SECONDS)
         return row
 
 
@@ -227,24 +248,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What an entry tells of the deployment.
+    """Sources of what an entry tells about the deployment.
 
     Attributes
     ----------
     me : callable
         Returns this entry as a member.
     ready : callable
+        Returns whether callers may be sent to this entry.
     version : callable
         Returns the version of the configuration in force.
     members : callable
+        Returns the live entries.
     mirror : Mirror
-        Tells whether the store is reached.
+        Mirror of the store, which knows whether the store is reached.
     named_versions : callable
-        Returns the newest named versions.
+        Returns the newest weight version that was named for each model.
     order_holders : callable
-        Returns the machines that order engines.
+        Returns the names of the VMs that may send orders to engines.
     duties : callable
-        Returns what is known of the duties of one machine at a time.
+        Returns the state of the duties that one VM holds at a time.
     services : callable
         Returns the names of the services.
     table : TargetTable
@@ -264,21 +287,28 @@
     lots: Lots
 
     def status(self) -> StatusReply:
-        """Return what is known now."""
+        """Return what is known at present."""
         return StatusReply(
             name=self.me().name,
             ready=self.ready(),
             configuration_version=self.version(),
             store_reached=self.mirror.ready and not self.mirror.failing,
-            named_versions={one.model: one.version for one in self.named_versions()},
+            named_versions={
+                named.model: named.version for named in self.named_versions()
+            },
             order_holders=self.order_holders(),
             duties=self.duties(),
             members=sorted(
                 (
-                    MemberStatus(one.name, one.address, one.failure_domain, one.leaving)
-                    for one in self.members()
+                    MemberStatus(
+                        member.name,
+                        member.address,
+                        member.failure_domain,
+                        member.leaving,
+                    )
+                    for member in self.members()
                 ),
-                key=lambda one: one.name,
+                key=lambda member: member.name,
             ),
             targets=self._targets(),
             lots=[
@@ -306,15 +336,15 @@
 
 
 class OperatorCalls:
-    """Answers about the entry itself.
+    """Answers operators' calls about the entry and the deployment.
 
     Parameters
     ----------
     deployment : Deployment
     explain : callable
-        Returns the remembered events that name a request, Lot or sample.
+        Returns the remembered log events that name a request, Lot or sample.
     drain : callable
-        Begins a planned stop.
+        Starts a planned stop of this entry.
     """
 
     def __init__(
@@ -328,15 +358,15 @@
         self._drain = drain
 
     def status(self, call: RawCall) -> None:
-        """Answer with what is known of the deployment."""
+        """Answer with the status of the deployment."""
         call.reply_json(200, self._deployment.status())
 
     def explain(self, call: RawCall) -> None:
-        """Answer with the remembered events of a request."""
+        """Answer with the remembered log events of a request, Lot or sample."""
         events = self._explain(unquote(call.path.removeprefix(EXPLAIN_PATH)))
         call.reply_json(200, EventsReply(events))
 
     def drain(self, call: RawCall) -> None:
-        """Begin a planned stop, as a stop signal does."""
+        """Start a planned stop, as a stop signal does."""
         call.reply_json(202, {"draining": self._deployment.me().name})
         self._drain()
--- a/src/wigeonfront/api/quarantine.py
+++ b/src/wigeonfront/api/quarantine.py
@@ -1,8 +1,8 @@
-"""The calls of ``/v1`` about requests that crash targets."""
+"""The calls to ``/v1`` about requests that crash targets."""
 
 from urllib.parse import unquote
 
-from wigeonfront.api.errors import Refused
+from wigeonfront.api.errors import ApiError
 from wigeonfront.api.messages import QuarantineReply, ReleasedReply, SuspectStatus
 from wigeonfront.clock import Clock
 from wigeonfront.http.raw import RawCall
@@ -12,7 +12,7 @@
 
 
 class QuarantineCalls:
-    """Shows operators which requests are kept from targets, and releases them.
+    """Shows operators which requests are quarantined, and releases them.
 
     Parameters
     ----------
@@ -25,25 +25,25 @@
         self._clock = clock
 
     def show(self, call: RawCall) -> None:
-        """Answer with the requests under which targets have crashed."""
-        suspects = [self._suspect(one) for one in self._ledger.fingerprints()]
-        known = [one for one in suspects if one is not None]
-        known.sort(key=lambda one: (-one.crashes, one.fingerprint))
+        """Answer with the requests that targets were running when they crashed."""
+        suspects = [self._suspect(digest) for digest in self._ledger.fingerprints()]
+        known = [suspect for suspect in suspects if suspect is not None]
+        known.sort(key=lambda suspect: (-suspect.crashes, suspect.fingerprint))
         call.reply_json(200, QuarantineReply(known))
 
     def release(self, call: RawCall) -> None:
-        """Forget the crashes of a request, which is then sent again."""
+        """Remove a request's crash records, so that it is sent to targets again."""
         digest = unquote(call.path.removeprefix(QUARANTINE_PATH + "/"))
         if not self._ledger.forget(digest):
-            raise Refused(404, "not_quarantined", digest[:100])
+            raise ApiError(404, "not_quarantined", digest[:100])
         call.reply_json(200, ReleasedReply(digest))
 
     def _suspect(self, digest: str) -> SuspectStatus | None:
         crashes = self._ledger.crashes(digest)
         if not crashes:
-            # It was released meanwhile.
+            # The request was released after its fingerprint was listed.
             return None
-        newest = max(crashes, key=lambda one: one.at)
+        newest = max(crashes, key=lambda crash: crash.at)
         blocked = quarantine_end(crashes) - self._clock.time()
         return SuspectStatus(
             fingerprint=digest,
--- a/src/wigeonfront/api/requests.py
+++ b/src/wigeonfront/api/requests.py
@@ -1,4 +1,4 @@
-"""The calls of ``/v1`` about single requests and streams."""
+"""The calls to ``/v1`` that forward single requests and streams."""
 
 import secrets
 from functools import singledispatch
@@ -8,7 +8,7 @@
 
 from wigeonfront.accounts import Admitted
 from wigeonfront.api.authentication import CallAuthenticator, scoped_id
-from wigeonfront.api.errors import Refused
+from wigeonfront.api.errors import ApiError
 from wigeonfront.api.lots import EngineHeaders, named_route
 from wigeonfront.api.messages import OutcomeBody, RequestBody, RequestReply, decode_body
 from wigeonfront.clock import Clock
@@ -33,8 +33,8 @@
 IDEMPOTENCY_HEADER = "Idempotency-Key"
 REQUEST_HEADER = "X-Request-Id"
 
-MOST_KEY_LENGTH = 100
-"""Characters of an idempotency key: with its route it is a key of the store."""
+MAX_KEY_LENGTH = 100
+"""Longest idempotency key in characters. The key becomes part of a key of the store."""
 
 RETRY_SECONDS = 1.0
 
@@ -44,7 +44,7 @@
 
 
 class RequestCalls:
-    """Answers callers.
+    """Answers the calls of callers that send single requests.
 
     Parameters
     ----------
@@ -73,7 +73,7 @@
         self._clock = clock
 
     def answer(self, call: RawCall, configuration: Configuration) -> None:
-        """Forward a request; answer with its outcome, or with its stream."""
+        """Forward a request and answer with its outcome or its stream."""
         started = self._clock.monotonic()
         body = decode_body(call.body(configuration.limits.body_bytes), RequestBody)
         route = named_route(
@@ -85,12 +85,12 @@
         )
         id = call.header(REQUEST_HEADER) or secrets.token_hex(8)
         admitted = self._authenticator.admit(call, configuration, [route])
-        request = self._forwarded(id, body, route, admitted)
+        request = self._make_request(id, body, route, admitted)
         deadline = started + min(body.timeout, route.timeout)
         if route.kind is RouteKind.STREAMING:
             self._streams.forward(request, route, started, deadline, call)
             return
-        key = _key_of(call)
+        key = _idempotency_key(call)
         if not key or route.repeatable:
             ended = self._forwarder.forward(request, route, deadline, call.socket)
         else:
@@ -101,17 +101,19 @@
             return
         outcome = outcome_of(ended)
         headers = _retry_headers(outcome)
-        reply = RequestReply(id, _told(outcome))
+        reply = RequestReply(id, _encode_outcome(outcome))
         call.reply_json(http_status(outcome), reply, headers)
 
-    def _forwarded(
+    def _make_request(
         self, id: str, body: RequestBody, route: Route, admitted: Admitted
     ) -> ForwardRequest:
         data = msgspec.json.encode(body.payload)
         headers = [("Host", route.host), ("Content-Type", "application/json")]
         if body.model:
-            more = self._engines.sample_headers(body.model, body.max_tokens, data)
-            headers.extend(more)
+            engine_headers = self._engines.sample_headers(
+                body.model, body.max_tokens, data
+            )
+            headers.extend(engine_headers)
         path = route.prefix + quote(body.path, safe="/")
         repeatable = route.repeatable or route.resumable
         return ForwardRequest(
@@ -128,9 +130,10 @@
     def _run_once(
         self, request: ForwardRequest, route: Route, deadline: float, key: str
     ) -> Ended:
-        """Run a request that others with its key may repeat.
+        """Run a request at most once for its idempotency key.
 
-        It goes on without its caller, who may ask for it again.
+        The request goes on if its caller disconnects, because the caller may repeat the
+        call with the same key.
         """
         return self._keyed.run(
             route.name,
@@ -140,17 +143,19 @@
         )
 
 
-def _key_of(call: RawCall) -> str:
+def _idempotency_key(call: RawCall) -> str:
     key = call.header(IDEMPOTENCY_HEADER)
-    if len(key) > MOST_KEY_LENGTH:
-        raise Refused(400, "bad_key", f"at most {MOST_KEY_LENGTH} characters")
+    if len(key) > MAX_KEY_LENGTH:
+        raise ApiError(
+            400, "bad_key", f"the key is longer than {MAX_KEY_LENGTH} characters"
+        )
     return quote(key, safe="")
 
 
 @singledispatch
 def outcome_of(ended: Ended) -> Outcome:
-    """Return a request's end as an outcome."""
-    raise TypeError(f"not an end: {ended!r}")
+    """Return the outcome for the way in which a forwarded request ended."""
+    raise TypeError(f"not an end of a request: {ended!r}")
 
 
 @outcome_of.register
@@ -179,37 +184,37 @@
 
 
 @singledispatch
-def _told(outcome: Outcome) -> OutcomeBody:
+def _encode_outcome(outcome: Outcome) -> OutcomeBody:
     raise TypeError(f"not an outcome: {outcome!r}")
 
 
-@_told.register
+@_encode_outcome.register
 def _(outcome: Completed) -> OutcomeBody:
     return OutcomeBody("completed", payload=outcome.payload)
 
 
-@_told.register
+@_encode_outcome.register
 def _(outcome: NotRun) -> OutcomeBody:
     return OutcomeBody(
         "not_run", reason=outcome.reason, retry_after=outcome.retry_after
     )
 
 
-@_told.register
+@_encode_outcome.register
 def _(outcome: Unknown) -> OutcomeBody:
     return OutcomeBody("unknown", reason=outcome.reason)
 
 
-@_told.register
+@_encode_outcome.register
 def _(outcome: Failed) -> OutcomeBody:
     return OutcomeBody("failed", reason=outcome.reason, status=outcome.status)
 
 
-@_told.register
+@_encode_outcome.register
 def _(outcome: Expired) -> OutcomeBody:
     return OutcomeBody("expired", retry_after=outcome.retry_after)
 
 
 def _retry_headers(outcome: Outcome) -> list[tuple[str, str]]:
-    after = getattr(outcome, "retry_after", 0.0)
-    return [("Retry-After", f"{after:g}")] if after else []
+    retry_after = getattr(outcome, "retry_after", 0.0)
+    return [("Retry-After", f"{retry_after:g}")] if retry_after else []
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -1,4 +1,4 @@
-"""The product's own interface on real entries, over stand-ins of the platform."""
+"""Tests of the HTTP API under ``/v1`` on real entries with a simulated platform."""
 
 import json
 import logging
@@ -29,7 +29,7 @@
 
 
 class Api:
-    """An entry's own interface."""
+    """A client of the HTTP API of one entry."""
 
     def __init__(self, entry):
         self.entry = entry
@@ -44,23 +44,23 @@
         return answer.status, data
 
     def results(self, path=LOT_PATH, total=6):
-        found = []
+        results = []
 
-        def whole():
-            status, page = self.call("GET", f"{path}?after={len(found)}&wait=0.5")
+        def all_read():
+            status, page = self.call("GET", f"{path}?after={len(results)}&wait=0.5")
             assert status == 200
-            found.extend(page["results"])
-            return len(found) == total
+            results.extend(page["results"])
+            return len(results) == total
 
-        wait_for(whole, 15.0)
-        return found
+        wait_for(all_read, 15.0)
+        return results
 
 
 @pytest.fixture
 def deployed():
-    made = Deployment()
-    yield made
-    made.close()
+    running = Deployment()
+    yield running
+    running.close()
 
 
 @pytest.fixture
@@ -73,15 +73,15 @@
     return add
 
 
-def test_a_lot_is_run_and_read_at_every_entry_until_it_is_acknowledged(deployed, apis):
+def test_lot_runs_once_and_every_entry_serves_it_until_acknowledged(deployed, apis):
     first, second = apis("n1"), apis("n2")
     assert first.call("POST", "/v1/lots", LOT) == (202, {"lot": "step 8", "samples": 6})
     assert second.call("POST", "/v1/lots", LOT)[0] == 202
     for api in (first, second):
         results = api.results()
-        assert {one["sample"] for one in results} == {f"s/{n}" for n in range(6)}
-        assert {one["kind"] for one in results} == {"completed"}
-        assert all(one["text"] and one["versions"] == [1] for one in results)
+        assert {result["sample"] for result in results} == {f"s/{n}" for n in range(6)}
+        assert {result["kind"] for result in results} == {"completed"}
+        assert all(result["text"] and result["versions"] == [1] for result in results)
     name = {"trainer": "t/1", "lot": "step 8"}
     for api in (second, first):
         assert api.call("POST", "/v1/lots/acknowledge", name)[0] == 200
@@ -92,8 +92,8 @@
     assert sum(sum(engine.ran.values()) for engine in deployed.engines) == 6
 
 
-def test_a_lot_that_was_delivered_elsewhere_just_now_is_not_delivered_again(apis):
-    """The second entry has not heard of it."""
+def test_entry_without_knowledge_of_a_delivered_lot_refuses_to_run_it_again(apis):
+    """The mirror of the second entry lacks the Lot, so only the store tells of it."""
     first, second = apis("n1"), apis("n2")
     second.entry._lots.knows = lambda lot_id: False
     assert first.call("POST", "/v1/lots", LOT)[0] == 202
@@ -103,16 +103,16 @@
     assert second.call("POST", "/v1/lots", LOT)[0] == 410
 
 
-def test_a_sample_is_scored_by_its_reward_call(deployed, apis):
+def test_reward_call_scores_a_sample(deployed, apis):
     api = apis("n1")
     samples = [
-        one | {"reward_call": {"route": "plain", "path": "score", "payload": one}}
-        for one in LOT["samples"]
+        sample | {"reward_call": {"route": "plain", "path": "score", "payload": sample}}
+        for sample in LOT["samples"]
     ]
     assert api.call("POST", "/v1/lots", LOT | {"samples": samples})[0] == 202
     results = api.results()
-    given = {mark for marks in deployed.plain.marks.values() for mark in marks}
-    assert {one["score"] for one in results} == given
+    expected = {mark for marks in deployed.plain.marks.values() for mark in marks}
+    assert {result["score"] for result in results} == expected
     bodies = {body for _, _, body in deployed.plain.seen}
     assert json.dumps(samples[0]["payload"]).encode().replace(b" ", b"") in b"".join(
         bodies
@@ -137,10 +137,10 @@
         ),
     ],
 )
-def test_a_bad_lot_is_refused_with_what_is_wrong(apis, changes, status, error):
+def test_invalid_lot_is_refused_with_an_error_code(apis, changes, status, error):
     api = apis("n1")
-    found = api.call("POST", "/v1/lots", LOT | changes)
-    assert (found[0], found[1]["error"]) == (status, error)
+    answer = api.call("POST", "/v1/lots", LOT | changes)
+    assert (answer[0], answer[1]["error"]) == (status, error)
     assert api.call("GET", LOT_PATH)[0] == 404
 
 
@@ -157,11 +157,11 @@
         ("GET", "/ready", 200),
     ],
 )
-def test_calls_that_are_not_there(apis, method, path, status):
+def test_status_of_invalid_paths_and_of_probes(apis, method, path, status):
     assert apis("n1").call(method, path)[0] == status
 
 
-def test_a_lot_that_is_not_kept_is_not_run_and_says_when_to_come_back(deployed, apis):
+def test_lot_that_cannot_be_stored_is_refused_with_retry_after(deployed, apis):
     api = apis("n1")
     deployed.rows.faults.down = True
     pool = Pool(api.address)
@@ -176,7 +176,7 @@
 REQUEST = {"route": "plain", "path": "a b", "payload": {"x": 1}, "timeout": 3}
 
 
-def test_a_request_has_an_outcome(deployed, apis):
+def test_request_is_forwarded_and_answered_with_its_outcome(deployed, apis):
     api = apis("n1")
     status, reply = api.call("POST", "/v1/requests", REQUEST, X_Request_Id="r1")
     assert status == 200
@@ -189,13 +189,13 @@
 @pytest.mark.parametrize(
     ("status", "expected"), [(500, (500, "failed")), (418, (418, "failed"))]
 )
-def test_a_target_that_fails_is_told(deployed, apis, status, expected):
+def test_error_of_a_target_is_the_outcome_failed(deployed, apis, status, expected):
     deployed.plain.status = status
-    found, reply = apis("n1").call("POST", "/v1/requests", REQUEST)
-    assert (found, reply["outcome"]["kind"]) == expected
+    answered, reply = apis("n1").call("POST", "/v1/requests", REQUEST)
+    assert (answered, reply["outcome"]["kind"]) == expected
 
 
-def test_without_a_target_a_request_was_not_run(deployed, apis):
+def test_request_refused_by_every_target_is_not_run(deployed, apis):
     api = apis("n1")
     deployed.plain.refuse = True
     status, reply = api.call("POST", "/v1/requests", REQUEST)
@@ -203,8 +203,8 @@
     assert reply["outcome"]["retry_after"] > 0
 
 
-def test_what_the_only_target_refuses_late_was_not_run(deployed, apis):
-    """It was given up at half of the time, and called unknown."""
+def test_request_refused_late_by_the_only_target_is_not_run(deployed, apis):
+    """The request must not be abandoned at half of its time and reported as unknown."""
     api = apis("n1")
     deployed.plain.refuse = True
     deployed.plain.refusal_pause = 0.9
@@ -212,21 +212,21 @@
     assert (status, reply["outcome"]["kind"]) == (503, "not_run")
 
 
-def test_a_request_with_a_key_runs_once_wherever_it_is_repeated(deployed, apis):
+def test_request_with_a_key_runs_once_when_repeated_at_any_entry(deployed, apis):
     first, second = apis("n1"), apis("n2")
     deployed.plain.pause = 0.3
     booking = REQUEST | {"route": "booking"}
     answers = []
 
-    def ask(api):
+    def send(api):
         answers.append(api.call("POST", "/v1/requests", booking, Idempotency_Key="k 1"))
 
-    asking = [threading.Thread(target=ask, args=(api,)) for api in (first, second)]
-    for thread in asking:
+    threads = [threading.Thread(target=send, args=(api,)) for api in (first, second)]
+    for thread in threads:
         thread.start()
-    for thread in asking:
+    for thread in threads:
         thread.join()
-    ask(second)
+    send(second)
     assert [status for status, _ in answers] == [200] * 3
     outcomes = [reply["outcome"] for _, reply in answers]
     assert outcomes[0] == outcomes[1] == outcomes[2]
@@ -235,7 +235,7 @@
     assert len(deployed.plain.seen) == 2
 
 
-def test_a_stream_goes_through_as_it_comes(apis):
+def test_stream_is_forwarded_whole(apis):
     api = apis("n1")
     pool = Pool(api.address)
     body = {"route": "stream", "path": "s1", "payload": {}, "model": MODEL}
@@ -245,7 +245,7 @@
     assert b"s1:5" in answer.body
 
 
-def test_the_status_tells_of_the_deployment(deployed, apis):
+def test_status_shows_the_deployment(deployed, apis):
     api, other = apis("n1"), apis("n2")
     deployment.name_version(deployed.rows, 2)
     api.call("POST", "/v1/lots", LOT)
@@ -260,11 +260,11 @@
     assert status["configuration_version"] == 1
     assert status["named_versions"] == {MODEL: 2}
     assert len(status["targets"]) == 3
-    assert [one["samples"] for one in status["lots"]] == [6]
+    assert [lot["samples"] for lot in status["lots"]] == [6]
     wait_for(lambda: other.call("GET", "/v1/status")[1]["order_holders"])
 
 
-def test_what_happened_to_a_sample_is_remembered(apis, caplog):
+def test_explain_returns_the_events_of_a_sample_in_order(apis, caplog):
     caplog.set_level(logging.INFO)
     api = apis("n1")
     api.call("POST", "/v1/lots", LOT)
@@ -281,24 +281,24 @@
     return msgspec.json.decode(deployment.configuration(version))
 
 
-def test_a_catalogue_is_checked_written_and_in_force_everywhere(apis):
+def test_stored_catalogue_comes_into_force_at_every_entry(apis):
     first, second = apis("n1"), apis("n2")
     wait_for(lambda: len(first.call("GET", "/v1/status")[1]["members"]) == 2)
-    present = first.call("GET", "/v1/catalogue")[1]
-    assert present["version"] == 1
-    change = {"expected": present["revision"], "document": document(4)}
+    current = first.call("GET", "/v1/catalogue")[1]
+    assert current["version"] == 1
+    change = {"expected": current["revision"], "document": document(4)}
     status, stored = first.call("PUT", "/v1/catalogue", change)
     assert (status, stored["version"]) == (200, 4)
 
     def in_force():
-        found = second.call("GET", "/v1/catalogue/in-force?version=4")[1]
-        return found["in_force"] == ["n1", "n2"] and not found["behind"]
+        reply = second.call("GET", "/v1/catalogue/in-force?version=4")[1]
+        return reply["in_force"] == ["n1", "n2"] and not reply["behind"]
 
     wait_for(in_force)
     behind = second.call("GET", "/v1/catalogue/in-force?version=5")[1]["behind"]
     assert behind == ["n1", "n2"]
     history = first.call("GET", "/v1/catalogue/history")[1]
-    assert [one["version"] for one in history] == [4]
+    assert [stored["version"] for stored in history] == [4]
 
 
 @pytest.mark.parametrize(
@@ -310,17 +310,17 @@
         (None, {"version": 9, "routes": [{}]}, 422, "bad_document"),
     ],
 )
-def test_a_bad_catalogue_is_not_written(apis, expected, changed, status, error):
+def test_invalid_catalogue_is_not_stored(apis, expected, changed, status, error):
     api = apis("n1")
-    present = api.call("GET", "/v1/catalogue")[1]
-    revision = present["revision"] if expected is None else expected
+    current = api.call("GET", "/v1/catalogue")[1]
+    revision = current["revision"] if expected is None else expected
     change = {"expected": revision, "document": changed}
-    found = api.call("PUT", "/v1/catalogue", change)
-    assert (found[0], found[1]["error"]) == (status, error)
-    assert api.call("GET", "/v1/catalogue")[1] == present
+    answer = api.call("PUT", "/v1/catalogue", change)
+    assert (answer[0], answer[1]["error"]) == (status, error)
+    assert api.call("GET", "/v1/catalogue")[1] == current
 
 
-def test_of_two_operators_the_first_wins(apis):
+def test_only_the_first_of_concurrent_catalogue_changes_is_stored(apis):
     api = apis("n1")
     revision = api.call("GET", "/v1/catalogue")[1]["revision"]
     answers = []
@@ -329,16 +329,16 @@
         change = {"expected": revision, "document": document(version)}
         answers.append(api.call("PUT", "/v1/catalogue", change)[0])
 
-    putting = [threading.Thread(target=put, args=(n,)) for n in range(2, 8)]
-    for thread in putting:
+    threads = [threading.Thread(target=put, args=(n,)) for n in range(2, 8)]
+    for thread in threads:
         thread.start()
-    for thread in putting:
+    for thread in threads:
         thread.join()
     assert answers.count(200) == 1
     assert set(answers) <= {200, 409, 422}
 
 
-def test_a_drain_is_a_planned_stop(deployed, apis):
+def test_drain_call_starts_a_planned_stop(deployed, apis):
     stopped = threading.Event()
     host = "127.0.0.1"
     entry = deployed.add_entry(
@@ -353,7 +353,7 @@
 
 
 @pytest.fixture
-def keyed(deployed, apis):
+def api_with_accounts(deployed, apis):
     value = deployment.configuration(2, accounts=ACCOUNTS)
     deployed.rows.put("op/config", value)
     return apis("n1")
@@ -369,26 +369,30 @@
     ],
 )
 @pytest.mark.parametrize("headers", [{}, {"Authorization": "Bearer key-x"}])
-def test_calls_need_a_key_where_there_are_accounts(keyed, method, path, body, headers):
-    status, reply = keyed.call(method, path, body, **headers)
+def test_call_without_a_valid_api_key_is_refused(
+    api_with_accounts, method, path, body, headers
+):
+    status, reply = api_with_accounts.call(method, path, body, **headers)
     assert (status, reply["error"]) == (401, "no_account")
 
 
-def test_a_lot_is_unknown_to_other_accounts(deployed, keyed):
-    assert keyed.call("POST", "/v1/lots", LOT, **S1)[0] == 202
-    assert keyed.call("GET", LOT_PATH, **O1)[0] == 404
+def test_lot_is_unknown_to_other_accounts(deployed, api_with_accounts):
+    assert api_with_accounts.call("POST", "/v1/lots", LOT, **S1)[0] == 202
+    assert api_with_accounts.call("GET", LOT_PATH, **O1)[0] == 404
     name = {"trainer": LOT["trainer"], "lot": LOT["lot"]}
-    assert keyed.call("POST", "/v1/lots/acknowledge", name, **O1)[0] == 404
-    assert keyed.call("GET", LOT_PATH, **S1)[0] == 200
+    assert api_with_accounts.call("POST", "/v1/lots/acknowledge", name, **O1)[0] == 404
+    assert api_with_accounts.call("GET", LOT_PATH, **S1)[0] == 200
     wait_for(lambda: any(engine.headers for engine in deployed.engines))
-    seen = [one for engine in deployed.engines for one in engine.headers.values()]
-    assert {one["wigeonfront-tenant"] for one in seen} == {"studio"}
+    sent = [
+        headers for engine in deployed.engines for headers in engine.headers.values()
+    ]
+    assert {headers["wigeonfront-tenant"] for headers in sent} == {"studio"}
 
 
-def test_an_idempotency_key_is_of_one_account(deployed, keyed):
+def test_idempotency_keys_of_accounts_are_separate(deployed, api_with_accounts):
     booking = REQUEST | {"route": "booking"}
     for headers in (S1, O1, S1):
-        status, _ = keyed.call(
+        status, _ = api_with_accounts.call(
             "POST", "/v1/requests", booking, Idempotency_Key="k1", **headers
         )
         assert status == 200
