--- a/src/wigeonfront/client/__init__.py
+++ b/src/wigeonfront/client/__init__.py
@@ -1,11 +1,11 @@
 """Clients: `TrainerClient` for Lots and `RequestClient` for single requests.
 
-Both try the entries in turn and never wait longer than the deadline that they were
-given, by more than `GRACE_SECONDS`. Each call to an entry is short, so that a
-connection that has gone silent is noticed within a few seconds. A refusal's
-``Retry-After`` is honoured: the next try comes no sooner, plus a random share of a
-growing pause (full jitter). When that would be past the deadline, the refusal is
-returned at once. How a call ends is a value.
+Both try the entries in turn and return at most `GRACE_SECONDS` after the deadline. Each
+call to an entry is short, so that the client detects a connection that has gone silent
+within a few seconds. The client honours the ``Retry-After`` of a refusal: before the
+next retry it waits for that time and for a random part of an exponential backoff (full
+jitter). If the retry would come after the deadline, the client returns the refusal at
+once. Outcomes are return values; the client raises no exception for a failed call.
 
 Examples
 --------
--- a/src/wigeonfront/client/entries.py
+++ b/src/wigeonfront/client/entries.py
@@ -1,4 +1,4 @@
-"""The entries in turn, and the time left for a call."""
+"""Calls to the entries in turn, with backoff and a deadline."""
 
 import random
 from collections.abc import Sequence
@@ -8,17 +8,18 @@
 from wigeonfront.http.client import Answer, Lost, NotSent, Pool
 
 GRACE_SECONDS = 0.5
-"""Time beyond a deadline that an answer given at it needs to arrive."""
+"""Time after a deadline in which an answer that was sent at the deadline arrives."""
 
-FIRST_PAUSE = 0.05
-LONGEST_PAUSE = 2.0
-"""Seconds up to which the random pauses between tries grow, from the first on."""
+INITIAL_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 2.0
+"""Largest upper bound of the random pause before a retry. The bound starts with
+`INITIAL_BACKOFF_SECONDS`; once every entry has been called, each retry doubles it."""
 
 CONNECT_SECONDS = 1.0
 
 
 class Deadline:
-    """The time left for a call, over all its tries."""
+    """The time left for a call with all its retries."""
 
     def __init__(self, clock: Clock, seconds: float) -> None:
         self._clock = clock
@@ -26,22 +27,27 @@
 
     @property
     def remaining(self) -> float:
-        """Seconds left, negative once passed."""
+        """Seconds until the deadline; negative after it."""
         return self._end - self._clock.monotonic()
 
 
 class Entries:
-    """The entries in turn, with the pauses between tries.
+    """Calls the entries in turn and pauses between retries.
 
     Parameters
     ----------
     addresses : sequence of str
-        ``host:port`` of entries, or of a balancer before them.
+        ``host:port`` of the entries, or of a load balancer in front of them.
     clock : Clock
     generator : random.Random or None
-        Source of the jitter.
+        Random generator for the jitter and the first entry; ``None`` for a new one.
     api_key : str
         API key of the client account; empty for none.
+
+    Raises
+    ------
+    ValueError
+        If there is no address.
     """
 
     def __init__(
@@ -56,12 +62,14 @@
         self._generator = generator or random.Random()
         self._pools = [Pool(str(address), CONNECT_SECONDS) for address in addresses]
         self._next = self._generator.randrange(len(self._pools))
-        self._own_headers = {"Authorization": f"Bearer {api_key}"} if api_key else {}
+        self._account_headers = (
+            {"Authorization": f"Bearer {api_key}"} if api_key else {}
+        )
         self.clock = clock
 
     @property
     def address(self) -> str:
-        """The entry whose turn it is."""
+        """``host:port`` of the entry whose turn it is."""
         return self._pools[self._next].address
 
     def call(
@@ -72,32 +80,47 @@
         timeout: float,
         headers: dict[str, str] | None = None,
     ) -> Answer | NotSent | Lost:
-        """Call the entry whose turn it is; a lost call leaves its connections."""
+        """Call the entry whose turn it is.
+
+        After a lost call, the connections to that entry are replaced by new ones.
+
+        Parameters
+        ----------
+        method, path : str
+        body : Any
+            Message to send as JSON; ``None`` for no body.
+        timeout : float
+            Seconds.
+        headers : dict, optional
+            Headers in addition to the API key.
+        """
         pool = self._pools[self._next]
-        sent = self._own_headers | (headers or {})
-        answer = pool.call(method, path, body, sent, max(0.001, timeout))
+        all_headers = self._account_headers | (headers or {})
+        answer = pool.call(method, path, body, all_headers, max(0.001, timeout))
         if isinstance(answer, Lost):
             pool.reset()
         return answer
 
     def wait(self, tries: int, retry_after: float, deadline: Deadline) -> bool:
-        """Go to the next entry and wait before the next try.
+        """Pause before a retry, which goes to the next entry.
 
         Parameters
         ----------
         tries : int
-            Tries made so far without success.
+            Number of unsuccessful calls so far.
         retry_after : float
-            Least seconds to wait.
+            Minimum pause in seconds.
         deadline : Deadline
 
         Returns
         -------
         bool
-            ``False``, without a wait, if the next try would come too late.
+            ``False``, without a pause, if the retry would come after the deadline.
         """
-        rounds = max(0, tries - len(self._pools))
-        ceiling = min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** min(rounds, 10))
+        doublings = max(0, tries - len(self._pools))
+        ceiling = min(
+            MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2 ** min(doublings, 10)
+        )
         pause = retry_after + self._generator.uniform(0, ceiling)
         if pause >= deadline.remaining:
             return False
--- a/src/wigeonfront/client/lot.py
+++ b/src/wigeonfront/client/lot.py
@@ -1,4 +1,4 @@
-"""What a trainer submits, and how its submission ends."""
+"""The Lot that a trainer submits, and the outcomes of its submission."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -7,21 +7,21 @@
 from wigeonfront.client.refusal import CallRejected
 from wigeonfront.outcomes import Completed, GivenUp
 
-# --- what is asked -----------------------------------------------------------
+# --- submission -----------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class RewardCall:
-    """The request that scores a sample once its text is whole.
+    """The request that scores a sample once its text is complete.
 
     Attributes
     ----------
     route : str
-        By its name in the configuration.
+        Name of the route in the configuration.
     path : str
-        Below the route's prefix.
+        Path below the route's prefix.
     payload : Any
-        JSON data.
+        JSON data that the target gets.
     """
 
     route: str
@@ -36,14 +36,16 @@
     Attributes
     ----------
     sample : str
-        Identifier, unique within the Lot.
+        Name of the sample, unique within the Lot.
     payload : Any
-        JSON data handed to the engine.
+        JSON data that the engine gets.
     group : str
-        Samples of a group share a prompt and count only together.
+        Name of the sample's group. Samples of one group share a prompt and count only
+        together; empty if the sample is a group by itself.
     max_tokens : int
-        Tokens expected at most; 0 if unknown.
+        Expected upper bound of the number of generated tokens; 0 if unknown.
     reward_call : RewardCall or None
+        Request that scores the sample; ``None`` if the sample needs no score.
     """
 
     sample: str
@@ -60,17 +62,17 @@
     Attributes
     ----------
     lot : str
-        Identifier, never used again by this trainer.
+        Name of the Lot, which this trainer uses only once.
     route : str
-        By its name in the configuration.
+        Name of the route in the configuration.
     model : str
     version : int
-        The trainer's present weight version.
+        Current weight version of the trainer.
     samples : tuple of Sample
     bound : int
-        How many versions older than `version` a sample's weights may be.
+        Number of versions by which a sample's weights may be older than `version`.
     wanted_groups : int
-        Groups that the trainer waits for; 0 for all.
+        Number of groups that the trainer waits for; 0 for all.
     """
 
     lot: str
@@ -84,20 +86,28 @@
     @property
     def groups(self) -> dict[str, list[str]]:
         """Names of the samples of each group."""
-        found: dict[str, list[str]] = {}
-        for one in self.samples:
-            found.setdefault(one.group or one.sample, []).append(one.sample)
-        return found
+        groups: dict[str, list[str]] = {}
+        for sample in self.samples:
+            groups.setdefault(sample.group or sample.sample, []).append(sample.sample)
+        return groups
 
 
-# --- how it ends -------------------------------------------------------------
+# --- outcomes -------------------------------------------------------------
 
 SampleOutcome = Completed | GivenUp
 
 
 @dataclass(frozen=True, slots=True)
 class LotProgress:
-    """How far a Lot is."""
+    """The progress of a Lot.
+
+    Attributes
+    ----------
+    finished : int
+        Number of samples with a result.
+    total : int
+        Number of samples.
+    """
 
     finished: int
     total: int
@@ -105,12 +115,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LotAnswered:
-    """The wanted groups are here; acknowledge the Lot once they are safe.
+    """The results of the wanted groups are complete.
+
+    Acknowledge the Lot once its results are stored safely.
 
     Attributes
     ----------
     outcomes : dict of str to Completed or GivenUp
-        By the sample's name; of all samples, unless fewer groups are wanted.
+        Outcomes by the name of the sample; they may lack samples of other groups if the
+        Lot has `wanted_groups`.
     entry : str
         Address of the entry that answered last.
     """
@@ -121,19 +134,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LotAlreadyDelivered:
-    """The Lot was acknowledged before; nothing is delivered again."""
+    """The Lot was acknowledged earlier; its results are not delivered again."""
 
 
 @dataclass(frozen=True, slots=True)
 class LotExpired:
-    """The deadline passed; the Lot is kept, and submitting it again goes on.
+    """The deadline passed before the wanted groups were complete.
+
+    The entries keep the Lot; submitting it again continues it.
 
     Attributes
     ----------
     reason : str
         How the last call ended.
     missing : int
-        Samples without a result, as far as is known.
+        Number of samples whose results have not been read.
     """
 
     reason: str
@@ -147,7 +162,7 @@
     Attributes
     ----------
     reason : str
-        How the last try ended.
+        How the last call ended.
     """
 
     reason: str
@@ -155,13 +170,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LotRefused:
-    """The Lot was refused and the deadline leaves no time for another try.
+    """The Lot was refused, and the deadline leaves no time for a retry.
 
     Attributes
     ----------
     reason : str
     retry_after : float
-        Seconds after which to come back.
+        Seconds after which the trainer may retry.
     """
 
     reason: str
@@ -175,7 +190,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AcknowledgementUnknown:
-    """No entry confirmed in time; acknowledging again is safe."""
+    """No entry confirmed the acknowledgement in time; repeating it is safe.
+
+    Attributes
+    ----------
+    reason : str
+        How the last call ended.
+    """
 
     reason: str
 
--- a/src/wigeonfront/client/refusal.py
+++ b/src/wigeonfront/client/refusal.py
@@ -1,4 +1,4 @@
-"""Answers that settle nothing, and those that reject the call."""
+"""Interprets unsuccessful answers: whether the client may retry the call."""
 
 from dataclasses import dataclass
 from typing import TypeVar
@@ -16,14 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRejected:
-    """The call itself is wrong; to repeat it is of no use.
+    """The call itself is wrong, and a retry would be rejected as well.
 
     Attributes
     ----------
     status : int
         HTTP status.
-    error, detail : str
-        The entry's words.
+    error : str
+        Error code from the entry.
+    detail : str
+        Explanation from the entry.
     """
 
     status: int
@@ -32,16 +34,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Again:
-    """A try that settled nothing: come back, no sooner than `retry_after`.
+class RetryLater:
+    """The call failed, but a retry may succeed.
 
     Attributes
     ----------
     reason : str
     retry_after : float
-        Seconds.
+        Minimum seconds before the retry.
     reached : bool
-        ``False`` when the call certainly reached no entry.
+        ``False`` if the call certainly reached no entry.
     """
 
     reason: str
@@ -50,20 +52,20 @@
 
 
 def decode(body: bytes, kind: type[Decoded]) -> Decoded | None:
-    """Return `body` as a message of `kind`, or ``None`` when it isn't one."""
+    """Decode `body` as a message of type `kind`; return ``None`` if it is no such."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
 
 
-def refusal(answer: Answer | NotSent | Lost) -> Again | CallRejected:
-    """Return what an answer without a usable body means."""
+def refusal(answer: Answer | NotSent | Lost) -> RetryLater | CallRejected:
+    """Return whether a call without a successful answer may be retried."""
     if not isinstance(answer, Answer):
-        return Again(answer.reason, reached=isinstance(answer, Lost))
+        return RetryLater(answer.reason, reached=isinstance(answer, Lost))
     reply = decode(answer.body, ErrorReply) or ErrorReply(BAD_ANSWER)
     if answer.status in RETRIED_STATUSES:
-        return Again(reply.detail or reply.error, answer.retry_after)
+        return RetryLater(reply.detail or reply.error, answer.retry_after)
     if answer.status < 400:
-        return Again(reply.error)
+        return RetryLater(reply.error)
     return CallRejected(answer.status, reply.error, reply.detail)
--- a/src/wigeonfront/client/request.py
+++ b/src/wigeonfront/client/request.py
@@ -15,35 +15,37 @@
 from wigeonfront.http.client import Answer, Lost, NotSent
 from wigeonfront.outcomes import Completed, Expired, Failed, NotRun, Outcome, Unknown
 
-PATIENCE_SHARE = 1 / 3
-"""Share of its time for which one send of a repeatable request is waited for: a
-connection may have gone silent."""
+DEFAULT_PATIENCE_SHARE = 1 / 3
+"""Default share of the timeout for which the client waits for one answer to a
+repeatable request, because the connection may have gone silent."""
 
-NOT_TAKEN_STATUSES = frozenset({429, 503})
-SHORTEST_TIMEOUT = 0.001
+NOT_RUN_STATUSES = frozenset({429, 503})
+MIN_TIMEOUT_SECONDS = 0.001
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request.
+    """A single request.
 
     Attributes
     ----------
     route : str
-        By its name in the configuration; it says whether requests are idempotent.
+        Name of the route in the configuration, which says whether its requests are
+        idempotent.
     payload : Any
-        JSON data.
+        JSON data that the target gets.
     path : str
-        Below the route's prefix.
+        Path below the route's prefix.
     idempotent : bool
-        ``False``: it may run at most once.
+        ``False`` if the request may run at most once.
     model : str
-        Of an engine; empty for plain services.
+        Model of the engine; empty for plain services.
     max_tokens : int
-        Most tokens that an engine generates; 0 for its own bound.
+        Expected upper bound of the number of generated tokens; 0 if unknown.
     key : str
-        Idempotency key. With it a request that is not idempotent may be sent
-        again when its answer is lost; without, only when it certainly didn't run.
+        Idempotency key. With a key, the client may send a request that is not
+        idempotent again after a lost answer. Without a key, it does so only if the
+        request certainly did not run.
     """
 
     route: str
@@ -56,13 +58,18 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may be sent again after a lost answer."""
+        """Whether the request may be sent again after a lost answer."""
         return self.idempotent or bool(self.key)
 
 
 @dataclass(frozen=True, slots=True)
 class MintedKey:
-    """An idempotency key that was never given before."""
+    """A new idempotency key.
+
+    Attributes
+    ----------
+    key : str
+    """
 
     key: str
 
@@ -75,12 +82,17 @@
     Parameters
     ----------
     addresses : sequence of str
-        ``host:port`` of the entries, or of the balancer before them.
+        ``host:port`` of the entries, or of the load balancer in front of them.
     clock : Clock, optional
     generator : random.Random, optional
-        Source of the jitter.
+        Random generator for the jitter and the first entry.
     api_key : str, optional
-        Of the client account.
+        API key of the client account; empty for none.
+
+    Raises
+    ------
+    ValueError
+        If there is no address.
     """
 
     def __init__(
@@ -97,7 +109,7 @@
         self._entries.close()
 
     def mint_key(self) -> MintedKey:
-        """Return an idempotency key that was never given before."""
+        """Return an idempotency key that has not been used before."""
         return MintedKey(uuid.uuid4().hex)
 
     def call(
@@ -111,37 +123,37 @@
         timeout : float
             Seconds for the whole call.
         patience : float, optional
-            Longest wait for one answer, in seconds, before a repeatable request is
-            sent again; a third of `timeout` by default.
+            Longest time in seconds for which the client waits for an answer before it
+            sends a repeatable request again; a third of `timeout` by default.
 
         Returns
         -------
         Outcome or CallRejected
-            `NotRun` only if no send of this call can have run.
+            `NotRun` only if no send of the request in this call can have run.
         """
         deadline = Deadline(self._entries.clock, timeout)
-        patience = patience or timeout * PATIENCE_SHARE
-        doubt = ""
+        patience = patience or timeout * DEFAULT_PATIENCE_SHARE
+        unknown_reason = ""
         for tries in count(1):
             answer = self._send(request, deadline, patience)
-            end = _end(answer)
+            end = _outcome_of(answer)
             if isinstance(end, Unknown):
-                doubt = doubt or end.reason
-            if not _may_repeat(request, end, doubt):
-                return _with_doubt(end, doubt)
-            pause = getattr(end, "retry_after", 0.0)
-            if not self._entries.wait(tries, pause, deadline):
-                return _with_doubt(end, doubt)
+                unknown_reason = unknown_reason or end.reason
+            if not _may_retry(request, end, unknown_reason):
+                return _final_outcome(end, unknown_reason)
+            retry_after = getattr(end, "retry_after", 0.0)
+            if not self._entries.wait(tries, retry_after, deadline):
+                return _final_outcome(end, unknown_reason)
 
     def _send(
         self, request: Request, deadline: Deadline, patience: float
     ) -> Answer | NotSent | Lost:
-        left = max(deadline.remaining, SHORTEST_TIMEOUT)
+        left = max(deadline.remaining, MIN_TIMEOUT_SECONDS)
         wait = min(left, patience) if request.repeatable else left
         headers = {REQUEST_HEADER: uuid.uuid4().hex[:16]}
         if request.key:
             headers[IDEMPOTENCY_HEADER] = request.key
-        # A keyed request goes on at its entry though this wait for it ends.
+        # With a key, the request goes on at the entry after this client stops waiting.
         body = RequestBody(
             request.route,
             request.path,
@@ -155,24 +167,24 @@
         )
 
 
-def _end(answer: Answer | NotSent | Lost) -> Outcome | CallRejected:
+def _outcome_of(answer: Answer | NotSent | Lost) -> Outcome | CallRejected:
     if isinstance(answer, NotSent):
         return NotRun(answer.reason, 0.0)
     if isinstance(answer, Lost):
         return Unknown(answer.reason)
     reply = decode(answer.body, RequestReply)
     if reply is not None:
-        return _outcome(reply.outcome)
-    end = refusal(answer)
-    if isinstance(end, CallRejected):
-        return end
-    if answer.status in NOT_TAKEN_STATUSES and end.reason != BAD_ANSWER:
-        return NotRun(end.reason, answer.retry_after)
-    # Something between client and entry answered; it may have passed the call on.
-    return Unknown(end.reason)
+        return _decode_outcome(reply.outcome)
+    failure = refusal(answer)
+    if isinstance(failure, CallRejected):
+        return failure
+    if answer.status in NOT_RUN_STATUSES and failure.reason != BAD_ANSWER:
+        return NotRun(failure.reason, answer.retry_after)
+    # A proxy between client and entry may have answered after it forwarded the call.
+    return Unknown(failure.reason)
 
 
-def _outcome(body: OutcomeBody) -> Outcome:
+def _decode_outcome(body: OutcomeBody) -> Outcome:
     if body.kind == "completed":
         return Completed(body.payload)
     if body.kind == "not_run":
@@ -184,12 +196,18 @@
     return Unknown(body.reason)
 
 
-def _may_repeat(request: Request, end: Outcome | CallRejected, doubt: str) -> bool:
+def _may_retry(
+    request: Request, end: Outcome | CallRejected, unknown_reason: str
+) -> bool:
     if isinstance(end, NotRun):
-        return request.repeatable or not doubt
+        return request.repeatable or not unknown_reason
     return isinstance(end, Unknown | Expired) and request.repeatable
 
 
-def _with_doubt(end: Outcome | CallRejected, doubt: str) -> Outcome | CallRejected:
-    """Return `end`, made to say that an earlier send may have run."""
-    return Unknown(doubt) if doubt and isinstance(end, NotRun) else end
+def _final_outcome(
+    end: Outcome | CallRejected, unknown_reason: str
+) -> Outcome | CallRejected:
+    """Return `end`, or `Unknown` if an earlier send of the request may have run."""
+    return (
+        Unknown(unknown_reason) if unknown_reason and isinstance(end, NotRun) else end
+    )
--- a/src/wigeonfront/client/trainer.py
+++ b/src/wigeonfront/client/trainer.py
@@ -38,36 +38,41 @@
 from wigeonfront.outcomes import Completed, GivenUp
 
 SUBMIT_SECONDS = 5.0
-"""Longest wait for one answer to a submission."""
+"""Longest time for which the client waits for one answer to a submission."""
 
 ACKNOWLEDGE_SECONDS = 30.0
-ACKNOWLEDGE_TRY_SECONDS = 3.0
+"""Default timeout of an acknowledgement, with all its retries."""
+
+ACKNOWLEDGE_CALL_SECONDS = 3.0
+"""Longest time for which the client waits for one answer to an acknowledgement."""
 
 GONE = 410
 
-Words = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
-def _ignore(told: object) -> None:
-    """Take no notice of progress."""
+def _ignore(progress: object) -> None:
+    """Ignore a progress report."""
 
 
 @dataclass(slots=True)
-class _Reading:
-    """What has been read of a Lot."""
+class _LotReading:
+    """The results of a Lot that have been read so far."""
 
     lot: Lot
     results: list[SampleResult] = field(default_factory=list)
 
     @property
     def done(self) -> bool:
-        """Whether all that the trainer waits for is here."""
+        """Whether all results that the trainer waits for have been read."""
         if len(self.results) >= len(self.lot.samples):
             return True
         wanted = self.lot.wanted_groups
-        read = {one.sample for one in self.results}
-        whole = sum(read.issuperset(group) for group in self.lot.groups.values())
-        return 0 < wanted <= whole
+        read = {result.sample for result in self.results}
+        complete_groups = sum(
+            read.issuperset(group) for group in self.lot.groups.values()
+        )
+        return 0 < wanted <= complete_groups
 
 
 class TrainerClient:
@@ -78,18 +83,23 @@
     Parameters
     ----------
     addresses : sequence of str
-        ``host:port`` of the entries, or of the balancer before them.
+        ``host:port`` of the entries, or of the load balancer in front of them.
     trainer : str
-        The trainer's name.
+        Name of the trainer.
     clock : Clock, optional
     generator : random.Random, optional
-        Source of the jitter.
+        Random generator for the jitter and the first entry.
     progress : callable, optional
-        Told in a few words how each try ended that settled nothing.
+        Called with a short text after each call that has to be retried.
     samples_told : callable, optional
-        Told of the `LotProgress` after each page of results.
+        Called with the `LotProgress` after each page of results.
     api_key : str, optional
-        Of the client account.
+        API key of the client account; empty for none.
+
+    Raises
+    ------
+    ValueError
+        If there is no address.
     """
 
     def __init__(
@@ -98,7 +108,7 @@
         trainer: str,
         clock: Clock | None = None,
         generator: random.Random | None = None,
-        progress: Words = _ignore,
+        progress: ProgressCallback = _ignore,
         samples_told: Callable[[LotProgress], None] = _ignore,
         api_key: str = "",
     ) -> None:
@@ -112,49 +122,56 @@
         self._entries.close()
 
     def submit_lot(self, lot: Lot, timeout: float = 300.0) -> LotOutcome:
-        """Submit `lot` and read its results until the wanted groups are whole.
+        """Submit `lot` and read its results until the wanted groups are complete.
 
-        A Lot that was submitted before, also by another process, is gone on with.
+        If the Lot was submitted earlier, even by another process, the call goes on with
+        that Lot.
 
         Parameters
         ----------
         lot : Lot
         timeout : float
-            Seconds for the whole call; samples may be given up after it.
+            Seconds for the whole call, after which samples may be given up.
 
         Returns
         -------
         LotOutcome
         """
         deadline = Deadline(self._entries.clock, timeout)
-        refused = self._submit(_body(self._trainer, lot, timeout), deadline)
-        if refused is not None:
-            return refused
+        failure = self._submit(_encode_lot(self._trainer, lot, timeout), deadline)
+        if failure is not None:
+            return failure
         return self._read(lot, deadline)
 
     def acknowledge(
         self, lot: Lot, timeout: float = ACKNOWLEDGE_SECONDS
     ) -> Acknowledged | AcknowledgementUnknown | CallRejected:
-        """Say that `lot` has arrived, until an entry confirms it.
+        """Acknowledge that the results of `lot` have arrived; retry until confirmed.
 
-        Acknowledging is idempotent: it may be repeated at any time. What has no result
-        by then is not run any more.
+        Acknowledging is idempotent and may be repeated at any time. Samples that have
+        no result by then are not run any more.
         """
         deadline = Deadline(self._entries.clock, timeout)
         body = LotName(self._trainer, lot.lot)
         for tries in count(1):
-            wait = min(ACKNOWLEDGE_TRY_SECONDS, deadline.remaining + GRACE_SECONDS)
+            wait = min(ACKNOWLEDGE_CALL_SECONDS, deadline.remaining + GRACE_SECONDS)
             answer = self._entries.call("POST", ACKNOWLEDGE_PATH, body, wait)
             if isinstance(answer, Answer) and answer.status < 300:
                 return Acknowledged()
-            end = refusal(answer)
-            if isinstance(end, CallRejected):
-                return end
-            if not self._entries.wait(tries, end.retry_after, deadline):
-                return AcknowledgementUnknown(end.reason)
+            failure = refusal(answer)
+            if isinstance(failure, CallRejected):
+                return failure
+            if not self._entries.wait(tries, failure.retry_after, deadline):
+                return AcknowledgementUnknown(failure.reason)
 
     def _submit(self, body: LotBody, deadline: Deadline) -> LotOutcome | None:
-        """Submit a Lot until it is kept; return why it is not."""
+        """Submit a Lot until an entry accepts it.
+
+        Returns
+        -------
+        LotOutcome or None
+            ``None`` if an entry accepted the Lot, else why none did.
+        """
         reached = False
         for tries in count(1):
             wait = min(SUBMIT_SECONDS, deadline.remaining + GRACE_SECONDS)
@@ -163,41 +180,41 @@
                 return None
             if isinstance(answer, Answer) and answer.status == GONE:
                 return LotAlreadyDelivered()
-            end = refusal(answer)
-            if isinstance(end, CallRejected):
-                return end
-            reached = reached or end.reached
-            self._progress(f"submission {tries}: {end.reason}")
-            if not self._entries.wait(tries, end.retry_after, deadline):
+            failure = refusal(answer)
+            if isinstance(failure, CallRejected):
+                return failure
+            reached = reached or failure.reached
+            self._progress(f"submission {tries} failed: {failure.reason}")
+            if not self._entries.wait(tries, failure.retry_after, deadline):
                 if not reached:
-                    return LotUnreached(end.reason)
-                return LotRefused(end.reason, end.retry_after)
+                    return LotUnreached(failure.reason)
+                return LotRefused(failure.reason, failure.retry_after)
 
     def _read(self, lot: Lot, deadline: Deadline) -> LotOutcome:
-        reading = _Reading(lot)
+        reading = _LotReading(lot)
         tries = 0
         while not reading.done:
-            answer = self._page(lot, len(reading.results), deadline)
+            answer = self._fetch_page(lot, len(reading.results), deadline)
             page = decode(answer.body, LotPage) if isinstance(answer, Answer) else None
             if page is not None and answer.status == 200:
                 tries = 0
                 reading.results.extend(page.results)
-                told = LotProgress(len(reading.results), len(lot.samples))
-                self._samples_told(told)
+                progress = LotProgress(len(reading.results), len(lot.samples))
+                self._samples_told(progress)
                 if not reading.done and deadline.remaining <= 0:
                     return self._expired(reading, "deadline")
                 continue
-            end = refusal(answer)
-            if isinstance(end, CallRejected):
-                return end
+            failure = refusal(answer)
+            if isinstance(failure, CallRejected):
+                return failure
             tries += 1
-            self._progress(f"reading: {end.reason}")
-            if not self._entries.wait(tries, end.retry_after, deadline):
-                return self._expired(reading, end.reason)
-        outcomes = {one.sample: _outcome(one) for one in reading.results}
+            self._progress(f"reading of results failed: {failure.reason}")
+            if not self._entries.wait(tries, failure.retry_after, deadline):
+                return self._expired(reading, failure.reason)
+        outcomes = {result.sample: _decode_result(result) for result in reading.results}
         return LotAnswered(outcomes, self._entries.address)
 
-    def _page(
+    def _fetch_page(
         self, lot: Lot, after: int, deadline: Deadline
     ) -> Answer | NotSent | Lost:
         wait = max(0.0, min(MAX_WAIT_SECONDS, deadline.remaining))
@@ -205,23 +222,23 @@
         path = f"{LOTS_PATH}/{names}?after={after}&wait={wait:.3f}"
         return self._entries.call("GET", path, None, wait + GRACE_SECONDS + 1.0)
 
-    def _expired(self, reading: _Reading, reason: str) -> LotExpired:
+    def _expired(self, reading: _LotReading, reason: str) -> LotExpired:
         return LotExpired(reason, len(reading.lot.samples) - len(reading.results))
 
 
-def _outcome(result: SampleResult) -> SampleOutcome:
+def _decode_result(result: SampleResult) -> SampleOutcome:
     if result.kind != "completed":
         return GivenUp()
     return Completed(result.text, result.versions, result.score)
 
 
-def _body(trainer: str, lot: Lot, timeout: float) -> LotBody:
+def _encode_lot(trainer: str, lot: Lot, timeout: float) -> LotBody:
     return LotBody(
         trainer=trainer,
         lot=lot.lot,
         route=lot.route,
         model=lot.model,
-        samples=[_sample(one) for one in lot.samples],
+        samples=[_encode_sample(sample) for sample in lot.samples],
         version=lot.version,
         bound=lot.bound,
         wanted_groups=lot.wanted_groups,
@@ -229,15 +246,15 @@
     )
 
 
-def _sample(sample: Sample) -> SampleBody:
+def _encode_sample(sample: Sample) -> SampleBody:
     return SampleBody(
         sample=sample.sample,
         payload=sample.payload,
         group=sample.group,
         max_tokens=sample.max_tokens,
-        reward_call=_reward(sample.reward_call),
+        reward_call=_encode_reward(sample.reward_call),
     )
 
 
-def _reward(call: RewardCall | None) -> RewardBody | None:
+def _encode_reward(call: RewardCall | None) -> RewardBody | None:
     return RewardBody(call.route, call.path, call.payload) if call else None
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The clients, against entries that answer as told."""
+"""Tests of the clients against entries with scripted answers."""
 
 import random
 from dataclasses import replace
@@ -27,11 +27,14 @@
 
 
 class ScriptedEntry:
-    """An entry that gives its next scripted answer to each call."""
+    """An entry that answers each call with the next scripted answer.
+
+    It repeats the last one; the answer ``cut`` closes the connection without a reply.
+    """
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.asked = []
+        self.calls = []
         self.server = Served(free_address(), self._answer, threads=4)
         self.server.start()
 
@@ -42,7 +45,7 @@
     def _answer(self, call):
         body = call.body(1_000_000)
         data = msgspec.json.decode(body) if body else None
-        self.asked.append((call.method, call.target, data, call.headers))
+        self.calls.append((call.method, call.target, data, call.headers))
         answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
         if answer == "cut":
             call.abort()
@@ -54,14 +57,14 @@
 
 @pytest.fixture
 def entries():
-    made = []
+    started = []
 
     def make(*answers):
-        made.append(ScriptedEntry(*answers))
-        return made[-1]
+        started.append(ScriptedEntry(*answers))
+        return started[-1]
 
     yield make
-    for entry in made:
+    for entry in started:
         entry.server.stop()
 
 
@@ -91,29 +94,29 @@
     )
 
 
-def test_a_lot_is_submitted_read_page_by_page_and_acknowledged(entries):
-    told = []
+def test_lot_is_submitted_read_page_by_page_and_acknowledged(entries):
+    reports = []
     entry = entries(ACCEPTED, *WHOLE, (200, {"trainer": "t", "lot": "l 1"}))
-    made = trainer(entry.address, samples_told=told.append)
-    answer = made.submit_lot(LOT)
+    trainer_client = trainer(entry.address, samples_told=reports.append)
+    answer = trainer_client.submit_lot(LOT)
     assert answer.outcomes == {
         "a": Completed("t", (6, 7)),
         "b": Completed("u", (), "s"),
         "c": GivenUp(),
     }
-    assert isinstance(made.acknowledge(LOT), client.Acknowledged)
-    made.close()
-    submitted, first, second, acknowledged = entry.asked
+    assert isinstance(trainer_client.acknowledge(LOT), client.Acknowledged)
+    trainer_client.close()
+    submitted, first, second, acknowledged = entry.calls
     body = submitted[2]
     assert (body["version"], body["bound"], body["model"]) == (7, 1, "m")
     assert body["samples"][1]["reward_call"]["route"] == "score"
     assert first[1].startswith("/v1/lots/t/l%201?after=0")
     assert second[1].startswith("/v1/lots/t/l%201?after=2")
     assert acknowledged[2] == {"trainer": "t", "lot": "l 1"}
-    assert [one.finished for one in told] == [2, 3]
+    assert [progress.finished for progress in reports] == [2, 3]
 
 
-def test_only_the_wanted_groups_are_waited_for(entries):
+def test_trainer_waits_only_for_the_wanted_groups(entries):
     entry = entries(ACCEPTED, WHOLE[0])
     wanted = replace(LOT, wanted_groups=1)
     answer = trainer(entry.address).submit_lot(wanted)
@@ -134,29 +137,29 @@
         ([ACCEPTED, (404, {"error": "no_such_lot"})], client.CallRejected),
     ],
 )
-def test_how_a_lot_ends(entries, answers, kind):
+def test_outcome_of_a_lot(entries, answers, kind):
     entry = entries(*answers)
-    made = trainer(entry.address, entry.address)
-    end = made.submit_lot(LOT, timeout=8.0)
+    trainer_client = trainer(entry.address, entry.address)
+    end = trainer_client.submit_lot(LOT, timeout=8.0)
     assert isinstance(end, kind), end
-    made.close()
+    trainer_client.close()
 
 
-def test_a_lot_that_no_entry_gets_was_not_reached():
-    made = trainer(free_address(), free_address())
-    end = made.submit_lot(LOT, timeout=2.0)
+def test_lot_is_unreached_if_no_entry_answers():
+    trainer_client = trainer(free_address(), free_address())
+    end = trainer_client.submit_lot(LOT, timeout=2.0)
     assert isinstance(end, client.LotUnreached)
-    unknown = made.acknowledge(LOT, timeout=1.0)
+    unknown = trainer_client.acknowledge(LOT, timeout=1.0)
     assert isinstance(unknown, client.AcknowledgementUnknown)
 
 
-def test_a_retry_after_that_is_past_the_deadline_ends_the_call_at_once(entries):
+def test_retry_after_beyond_the_deadline_ends_the_call_at_once(entries):
     entry = entries((503, {"error": "not_run", "detail": "full"}, 60))
     clock = ManualClock()
     end = trainer(entry.address, clock=clock).submit_lot(LOT, timeout=5.0)
     assert (end.reason, end.retry_after) == ("full", 60)
     assert clock.monotonic() == 0.0
-    assert len(entry.asked) == 1
+    assert len(entry.calls) == 1
 
 
 # --- requests ----------------------------------------------------------------
@@ -174,7 +177,7 @@
 
 
 @pytest.mark.parametrize(
-    ("request_", "answers", "end", "sends"),
+    ("request_", "answers", "expected", "sends"),
     [
         (PLAIN, [DONE], Completed({"y": 2}), 1),
         (PLAIN, ["cut", DONE], Completed({"y": 2}), 2),
@@ -191,31 +194,37 @@
         (BOOKING, [outcome(504, "expired", retry_after=1.0)], Expired(1.0), 1),
         (KEYED, ["cut", DONE], Completed({"y": 2}), 2),
         (KEYED, [outcome(409, "unknown", reason="x"), DONE], Completed({"y": 2}), 2),
-        # An earlier send may have run: the last refusal promises nothing.
+        # An earlier send may have run, so the last refusal does not mean "not run".
         (KEYED, ["cut", NOT_RUN], Unknown, None),
         (PLAIN, [NOT_RUN], NotRun("full", 0.1), None),
         (PLAIN, [(404, {"error": "no_route"})], client.CallRejected, 1),
         (BOOKING, [(503, {"error": "not_ready"}), DONE], Completed({"y": 2}), 2),
-        # Not of an entry: something between may have passed the call on.
+        # A proxy answered, and it may have forwarded the call.
         (BOOKING, [(503, {"message": "proxy"})], Unknown, 1),
     ],
 )
-def test_how_a_request_ends(entries, request_, answers, end, sends):
+def test_outcome_of_a_request(entries, request_, answers, expected, sends):
     entry = entries(*answers)
-    made = client.RequestClient([entry.address], ManualClock(), random.Random(1))
-    found = made.call(request_, timeout=3.0)
-    made.close()
-    assert isinstance(found, end) if isinstance(end, type) else found == end
-    assert sends is None or len(entry.asked) == sends
-    keys = {dict(headers).get("Idempotency-Key", "") for *_, headers in entry.asked}
+    request_client = client.RequestClient(
+        [entry.address], ManualClock(), random.Random(1)
+    )
+    actual = request_client.call(request_, timeout=3.0)
+    request_client.close()
+    assert (
+        isinstance(actual, expected)
+        if isinstance(expected, type)
+        else actual == expected
+    )
+    assert sends is None or len(entry.calls) == sends
+    keys = {dict(headers).get("Idempotency-Key", "") for *_, headers in entry.calls}
     assert keys == {request_.key}
 
 
-def test_a_minted_key_is_new():
-    made = client.RequestClient(["127.0.0.1:1"])
-    assert made.mint_key() != made.mint_key()
+def test_minted_keys_are_unique():
+    request_client = client.RequestClient(["127.0.0.1:1"])
+    assert request_client.mint_key() != request_client.mint_key()
 
 
-def test_without_an_address_there_is_no_client():
+def test_client_without_an_address_raises():
     with pytest.raises(ValueError, match="address"):
         client.RequestClient([])
