--- a/src/wigeonfront/api/errors.py
+++ b/src/wigeonfront/api/errors.py
@@ -9,7 +9,7 @@
 class ApiError(Exception):
     """An error with which a call is answered.
 
-    It is raised instead of a reply, so no part of a reply has been sent before it.
+    It is raised before any part of an answer has been sent.
 
     Parameters
     ----------
--- a/src/wigeonfront/client/lot.py
+++ b/src/wigeonfront/client/lot.py
@@ -7,7 +7,7 @@
 from wigeonfront.client.refusal import CallRejected
 from wigeonfront.outcomes import Completed, GivenUp
 
-# --- submission -----------------------------------------------------------
+# --- submission ----------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
         return groups
 
 
-# --- outcomes -------------------------------------------------------------
+# --- outcomes ------------------------------------------------------------------
 
 SampleOutcome = Completed | GivenUp
 
--- a/src/wigeonfront/client/refusal.py
+++ b/src/wigeonfront/client/refusal.py
@@ -52,7 +52,7 @@
 
 
 def decode(body: bytes, kind: type[Decoded]) -> Decoded | None:
-    """Decode `body` as a message of type `kind`; return ``None`` if it is no such."""
+    """Return `body` decoded as a message of type `kind`; ``None`` if it is invalid."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError):
