--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -2,7 +2,7 @@
 
 from wigeonfront.rollout.events import Text
 from wigeonfront.rollout.lot import Lot, Sample, SampleResult
-from wigeonfront.rollout.progress import LotProgress, LotTimes
+from wigeonfront.rollout.progress import LotProgress, SubmissionTimes
 from wigeonfront.rollout.scheduling import (
     BATCH_SECONDS,
     FIRST_EVENT_SECONDS,
@@ -41,7 +41,7 @@
         due_seconds=7.5,
         **fields,
     )
-    return LotProgress(lot, 1, [], LotTimes(submitted, submitted))
+    return LotProgress(lot, 1, [], SubmissionTimes(submitted, submitted))
 
 
 def engine(id, in_flight=0, others=0, version=None, latency=0.0, **fields):
