--- a/src/wigeonfront/api/requests.py
+++ b/src/wigeonfront/api/requests.py
@@ -122,7 +122,7 @@
             data,
             repeatable,
             admitted.account,
-            route.rank(admitted.priority),
+            route.stream_priority(admitted.priority),
         )
 
     def _run_once(
--- a/src/wigeonfront/cli.py
+++ b/src/wigeonfront/cli.py
@@ -68,7 +68,7 @@
         for error in settings.errors:
             print(f"wigeonfront: {error}", file=sys.stderr)
         return exit_codes.USAGE
-    openssl.leave_out()
+    openssl.block_imports()
     module, _, function = arguments.handler.partition(":")
     handler = getattr(import_module(_COMMANDS + module), function)
     return handler(settings, arguments)
--- a/src/wigeonfront/configuration.py
+++ b/src/wigeonfront/configuration.py
@@ -77,7 +77,7 @@
         """Whether a request may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT
 
-    def rank(self, account_priority: int | None) -> int | None:
+    def stream_priority(self, account_priority: int | None) -> int | None:
         """Return the rank of a stream at its engine; ``None`` for other requests.
 
         Parameters
@@ -157,7 +157,7 @@
     limits: CallerLimits = CallerLimits()
     accounts: AccountDirectory | None = field(default=None, repr=False)
 
-    def wants_one_version(self, service: str) -> bool:
+    def requires_single_version(self, service: str) -> bool:
         """Tell whether a route wants each sample of `service` from one version."""
         return any(
             route.single_version and share.service == service
@@ -165,7 +165,7 @@
             for share in route.shares
         )
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route of `host` with the longest prefix that begins `path`."""
         best: Route | None = None
         for route in self.routes:
--- a/src/wigeonfront/node/interface.py
+++ b/src/wigeonfront/node/interface.py
@@ -22,7 +22,7 @@
 from wigeonfront.node.duties import UsagePart
 from wigeonfront.node.following import ConfigurationFollower
 from wigeonfront.node.store_view import StoreView
-from wigeonfront.observability.explain import RememberedEvents
+from wigeonfront.observability.explain import RecentEvents
 from wigeonfront.platform.catalogue import PlatformCatalogue
 from wigeonfront.platform.lot_calls import PlatformSamples
 from wigeonfront.quarantine import CrashLedger
@@ -106,7 +106,7 @@
 
 
 def _operations(parts: InterfaceParts) -> OperatorCalls:
-    remembered = RememberedEvents(parts.name)
+    remembered = RecentEvents(parts.name)
     logging.getLogger("wigeonfront").addHandler(remembered)
     deployment = Deployment(
         me=parts.me,
--- a/src/wigeonfront/node/side.py
+++ b/src/wigeonfront/node/side.py
@@ -140,7 +140,7 @@
 
     def _keeps_runs(self) -> bool:
         configuration = self._follower.current
-        return configuration is None or not configuration.wants_one_version(
+        return configuration is None or not configuration.requires_single_version(
             self._service
         )
 
--- a/src/wigeonfront/observability/explain.py
+++ b/src/wigeonfront/observability/explain.py
@@ -14,7 +14,7 @@
 
 NAMING_FIELDS = ("request", "lot", "sample", "key")
 
-REMEMBERED_LINES = 2_000
+RECENT_LINES = 2_000
 """Lines that an entry remembers: at 300 bytes each 0.6 MB."""
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
@@ -86,7 +86,7 @@
         return 0.0
 
 
-class RememberedEvents(logging.Handler):
+class RecentEvents(logging.Handler):
     """The newest log lines of this process.
 
     Parameters
@@ -98,7 +98,7 @@
     def __init__(self, process: str) -> None:
         super().__init__()
         self._process = process
-        self._lines: deque[str] = deque(maxlen=REMEMBERED_LINES)
+        self._lines: deque[str] = deque(maxlen=RECENT_LINES)
 
     def emit(self, record: logging.LogRecord) -> None:
         """Remember one line."""
--- a/src/wigeonfront/openssl.py
+++ b/src/wigeonfront/openssl.py
@@ -11,7 +11,7 @@
 MODULES = ("ssl", "_ssl", "_hashlib")
 
 
-def leave_out() -> bool:
+def block_imports() -> bool:
     """Make the import of OpenSSL's modules fail from now on.
 
     Returns
--- a/src/wigeonfront/platform/front.py
+++ b/src/wigeonfront/platform/front.py
@@ -79,7 +79,7 @@
             call.reply(503, headers=(("Retry-After", UNREADY_RETRY_SECONDS),))
             return
         host = call.header("Host").lower()
-        route = configuration.find(host, call.path)
+        route = configuration.find_route(host, call.path)
         routes = [route] if route else self._lot_routes(call, configuration, host)
         if not routes:
             self._unknown_route(call, configuration, host)
@@ -199,7 +199,7 @@
         body,
         repeatable,
         admitted.account,
-        route.rank(admitted.priority),
+        route.stream_priority(admitted.priority),
     )
 
 
--- a/src/wigeonfront/rollout/picking.py
+++ b/src/wigeonfront/rollout/picking.py
@@ -78,7 +78,7 @@
     """Return the service of each Lot that has a route."""
     services = {}
     for progress in lots:
-        route = configuration.find(progress.lot.host, progress.lot.prefix)
+        route = configuration.find_route(progress.lot.host, progress.lot.prefix)
         if route is not None:
             services[progress.lot.id] = route.shares[0].service
     return services
--- a/src/wigeonfront/rollout/scoring.py
+++ b/src/wigeonfront/rollout/scoring.py
@@ -190,7 +190,7 @@
     def _route(self, due: DueCall, configuration: Configuration) -> Route | None:
         call = _reward_call(due.state)
         path = call.path.partition("?")[0]
-        route = configuration.find(call.host.lower(), path)
+        route = configuration.find_route(call.host.lower(), path)
         due.state.call.routed, was_routed = route is not None, due.state.call.routed
         if route is not None:
             return route
--- a/src/wigeonfront/setting_values.py
+++ b/src/wigeonfront/setting_values.py
@@ -12,7 +12,7 @@
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 _HOST = re.compile(r"[A-Za-z0-9][A-Za-z0-9.-]*|\[[0-9A-Fa-f:.]+\]")
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     if not _HOST.fullmatch(host) or not (port.isascii() and port.isdigit()):
         raise ValueError(text)
     number = int(port)
-    if not 1 <= number <= MOST_PORT:
+    if not 1 <= number <= MAX_PORT:
         raise ValueError(text)
     return Address(host.strip("[]"), number)
 
--- a/src/wigeonfront/settings.py
+++ b/src/wigeonfront/settings.py
@@ -14,7 +14,7 @@
 
 from wigeonfront.duties import Duty
 from wigeonfront.setting_values import (
-    MOST_PORT,
+    MAX_PORT,
     Address,
     decimal,
     integer,
@@ -92,7 +92,7 @@
 
 
 def _address(help: str, default: Any = MISSING) -> Any:
-    accepted = f"host:port with a port from 1 to {MOST_PORT}"
+    accepted = f"host:port with a port from 1 to {MAX_PORT}"
     return _setting(parse_address, accepted, help, default)
 
 
--- a/src/wigeonfront/supervisor.py
+++ b/src/wigeonfront/supervisor.py
@@ -18,9 +18,9 @@
 logger = logging.getLogger(__name__)
 
 MAX_FAILURES = 10
-FAILURE_WINDOW = 60.0
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 5.0
+FAILURE_WINDOW_SECONDS = 60.0
+INITIAL_PAUSE_SECONDS = 0.1
+MAX_PAUSE_SECONDS = 5.0
 # Threads are daemons: one blocked in a call that it can't leave ends with the process.
 JOIN_SECONDS = 1.0
 
@@ -83,7 +83,7 @@
         stop = threading.Event()
         full_name = f"{self._name}.{name}"
         thread = threading.Thread(
-            target=self._keep, args=(name, run, stop), name=full_name, daemon=True
+            target=self._run_task, args=(name, run, stop), name=full_name, daemon=True
         )
         with self._lock:
             if self._stop.is_set():
@@ -106,27 +106,29 @@
 
     def stop(self) -> None:
         """Stop all tasks of the tree and wait a bounded time for them together."""
-        threads = self._tell()
+        threads = self._signal_stop()
         deadline = self._clock.monotonic() + JOIN_SECONDS
         for thread in threads:
             if thread is not threading.current_thread():
                 thread.join(max(0.0, deadline - self._clock.monotonic()))
 
-    def _tell(self) -> list[threading.Thread]:
+    def _signal_stop(self) -> list[threading.Thread]:
         """Tell the children's tasks, then the own ones; return their threads."""
         self._stop.set()
         with self._lock:
             children = list(self._children)
             threads = list(self._threads.values())
             stops = list(self._stops.values())
-        below = [thread for child in reversed(children) for thread in child._tell()]
+        below = [
+            thread for child in reversed(children) for thread in child._signal_stop()
+        ]
         for stop in stops:
             stop.set()
         return below + threads
 
-    def _keep(self, name: str, run: Run, stop: threading.Event) -> None:
+    def _run_task(self, name: str, run: Run, stop: threading.Event) -> None:
         failures: deque[float] = deque(maxlen=MAX_FAILURES)
-        pause = FIRST_PAUSE
+        pause = INITIAL_PAUSE_SECONDS
         while not stop.is_set():
             try:
                 run(stop)
@@ -139,11 +141,14 @@
                 logger.exception("event=task_failed task=%s", name)
             now = self._clock.monotonic()
             failures.append(now)
-            if len(failures) == MAX_FAILURES and now - failures[0] < FAILURE_WINDOW:
+            if (
+                len(failures) == MAX_FAILURES
+                and now - failures[0] < FAILURE_WINDOW_SECONDS
+            ):
                 self._give_up(name)
                 return
             stop.wait(pause)
-            pause = min(LONGEST_PAUSE, pause * 2)
+            pause = min(MAX_PAUSE_SECONDS, pause * 2)
 
     def _give_up(self, name: str) -> None:
         event(logger, "supervisor_gave_up", level=logging.ERROR, task=name)
--- a/src/wigeonfront/weights/fleet.py
+++ b/src/wigeonfront/weights/fleet.py
@@ -181,4 +181,6 @@
 
     def _keeps_runs(self, service: str) -> bool:
         configuration = self._configuration()
-        return configuration is None or not configuration.wants_one_version(service)
+        return configuration is None or not configuration.requires_single_version(
+            service
+        )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -50,7 +50,7 @@
     """Pass over the tests that are known to fail, and no other."""
     if config.getoption("known_red"):
         return
-    names = {known_red.name_of(entry) for entry in known_red.read_entries()}
+    names = {known_red.node_id(entry) for entry in known_red.read_entries()}
     over = [item for item in items if item.nodeid in names]
     config.hook.pytest_deselected(items=over)
     items[:] = [item for item in items if item.nodeid not in names]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -11,7 +11,7 @@
     return [line for line in lines if line and not line.startswith("#")]
 
 
-def name_of(entry):
+def node_id(entry):
     """Return the node id of the test that an entry names."""
     return entry.partition(", ")[0]
 
--- a/tests/test_account_calls.py
+++ b/tests/test_account_calls.py
@@ -13,7 +13,7 @@
 from rows_fakes import wait_for
 from test_entry_node import SAMPLES, call, read_all, submission
 from wigeonfront.http.client import Pool
-from wigeonfront.observability.explain import RememberedEvents
+from wigeonfront.observability.explain import RecentEvents
 
 ACCOUNTS = {"studio": ["key-s1", "key-s2"], "other": ["key-o1"]}
 S1, S2, O1 = (
@@ -226,7 +226,7 @@
 
 def test_no_key_is_logged_or_stored(deployed, caplog):
     caplog.set_level(logging.DEBUG)
-    remembered = RememberedEvents("n1")
+    remembered = RecentEvents("n1")
     logging.getLogger("wigeonfront").addHandler(remembered)
     entry = deployed.add_entry("n1")
     assert call_plain(entry, "r1", **S1).status == 200
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -23,7 +23,7 @@
 )
 def test_services_whose_samples_come_from_one_version(single, service, wants):
     routes = (route("plain"), replace(route("lots"), single_version=single))
-    assert Configuration(1, routes).wants_one_version(service) == wants
+    assert Configuration(1, routes).requires_single_version(service) == wants
 
 
 ROUTES = Configuration(
@@ -49,7 +49,7 @@
     ],
 )
 def test_the_longest_prefix_of_the_host_selects(host, path, expected):
-    found = ROUTES.find(host, path)
+    found = ROUTES.find_route(host, path)
     assert (found.name if found else None) == expected
 
 
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -323,7 +323,7 @@
     submit(first, "l1", scored=True)
     wait_for(lambda: not any(engine.running for engine in deployed.engines))
     time.sleep(1.5)
-    first._supervisor._tell()
+    first._supervisor._signal_stop()
     first._runner.stop_lot("l1", "killed by the test")
     deployed.plain.refuse = False
     page = read_all(second, "l1")
@@ -472,7 +472,7 @@
         engine.faults.event_seconds = 0.4
     submit(first, "l1")
     wait_for(lambda: first._runner.owned("l1"))
-    first._supervisor._tell()
+    first._supervisor._signal_stop()
     first._runner.stop_lot("l1", "killed by the test")
     for engine in deployed.engines:
         engine.faults.event_seconds = 0.002
@@ -488,7 +488,7 @@
     submit(first, "l1", samples=2)
     wait_for(lambda: sum(engine.running for engine in deployed.engines) == 2)
     time.sleep(2.0)
-    first._supervisor._tell()
+    first._supervisor._signal_stop()
     first._runner.stop_lot("l1", "killed by the test")
     page = read_all(second, "l1", 2)
     check(deployed, page)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -3,7 +3,7 @@
 import pytest
 
 from conftest import pytest_collection_modifyitems
-from known_red import LIST, entries, name_of
+from known_red import LIST, entries, node_id
 
 LISTED = """
 # test, cause, issue
@@ -14,7 +14,7 @@
 
 
 def test_an_entry_names_a_test():
-    names = [name_of(entry) for entry in entries(LISTED)]
+    names = [node_id(entry) for entry in entries(LISTED)]
     assert names == ["tests/test_a.py::test_one[512]", "tests/test_b.py::test_two"]
 
 
--- a/tests/test_spooling.py
+++ b/tests/test_spooling.py
@@ -66,7 +66,7 @@
 
 def kill(entry, *lots):
     """End an entry without a hand-over of its Lots."""
-    entry._supervisor._tell()
+    entry._supervisor._signal_stop()
     for server in entry._servers.values():
         server.close(0.0)
     for lot_id in lots:
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture(autouse=True)
 def hurried(monkeypatch):
-    monkeypatch.setattr(supervisor, "FIRST_PAUSE", 0.0)
+    monkeypatch.setattr(supervisor, "INITIAL_PAUSE_SECONDS", 0.0)
 
 
 @pytest.fixture
