--- a/.ci/binary_start.py
+++ b/.ci/binary_start.py
@@ -1,14 +1,14 @@
-"""Starts the program from the single file; shiv runs this once it has unpacked it.
+"""Starts the program from the single file; shiv runs this after it unpacks the file.
 
-The archive's loader is replaced, in the same process, by a plain interpreter, so that
-none of it stays in memory. That interpreter finds only the packages of the archive,
-whatever ``PYTHONPATH`` the caller has.
+A plain interpreter replaces the archive's loader in the same process, so that nothing
+of the loader stays in memory. This interpreter finds only the packages of the
+archive, whatever ``PYTHONPATH`` the caller has set.
 """
 
 import os
 import sys
 
-# Given by shiv's loader.
+# Set by shiv's loader.
 packages = globals()["site_packages"]
 
 os.environ["PYTHONPATH"] = str(packages)
--- a/.ci/build_binary.py
+++ b/.ci/build_binary.py
@@ -1,9 +1,9 @@
 """Builds the single file ``dist/wigeonfront`` with shiv.
 
-Usage: ``python .ci/build_binary.py [OUTPUT]``. Packages that are needed only to
-install others are left out. Compiled modules are put in: a VM is often new, and its
-first start then neither spends time and memory on compiling nor writes anything but
-the unpacked packages.
+Usage: ``python .ci/build_binary.py [OUTPUT]``. Packages that are needed only for
+installation are left out. Compiled modules are included, because VMs are often new:
+the first start then needs no time and memory for compiling, and writes nothing but the
+unpacked packages.
 """
 
 import compileall
@@ -18,14 +18,14 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DEFAULT_OUTPUT = ROOT / "dist" / "wigeonfront"
-# The start takes the place of the entry point, but shiv asks for one.
+# The preamble starts the program, but shiv requires an entry point as well.
 START = ROOT / ".ci" / "binary_start.py"
 ENTRY_POINT = "wigeonfront.cli:main"
 ONLY_FOR_INSTALLING = ("setuptools", "pkg_resources", "pbr", "_distutils_hack", "bin")
 
 
 def build(output: Path) -> None:
-    """Write the archive to `output`."""
+    """Build the archive and write it to `output`."""
     output.parent.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory() as folder:
         packages = Path(folder) / "packages"
@@ -35,8 +35,8 @@
 
 
 def install(packages: Path) -> None:
-    """Install the product and what it runs on into the folder `packages`."""
-    # Modules that were deleted since the last build would be packed again.
+    """Install the project and its dependencies into the folder `packages`."""
+    # An old build folder may contain modules that have since been deleted.
     shutil.rmtree(ROOT / "build", ignore_errors=True)
     pip = [sys.executable, "-m", "pip", "install", "--quiet", "--no-compile"]
     subprocess.run([*pip, "--target", str(packages), str(ROOT)], check=True)
@@ -47,7 +47,7 @@
 
 
 def make_archive(packages: Path, output: Path) -> None:
-    """Pack the folder with shiv."""
+    """Pack the folder `packages` into an archive with shiv."""
     shiv = [sys.executable, "-m", "shiv", "--reproducible", "-e", ENTRY_POINT]
     options = ["--preamble", str(START), "--site-packages", str(packages)]
     options += ["-o", str(output)]
@@ -55,7 +55,11 @@
 
 
 def add_compiled(packages: Path, output: Path) -> None:
-    """Compile the modules and add them; unpacking doesn't keep their times."""
+    """Compile the modules and add the results to the archive.
+
+    The compiled files must not be checked against the modification times of their
+    sources, which unpacking doesn't keep.
+    """
     compileall.compile_dir(
         packages,
         quiet=1,
--- a/src/wigeonfront/__init__.py
+++ b/src/wigeonfront/__init__.py
@@ -1,8 +1,8 @@
 """A rollout service for reinforcement learning on shared inference capacity.
 
-``wigeonfront entry``, ``side`` and ``storage`` run its processes. Trainers and callers
-use `wigeonfront.client`; the parts that the processes share can be embedded from
-`wigeonfront.coordination`.
+The commands ``wigeonfront entry``, ``side`` and ``storage`` run its processes. Trainers
+and callers use `wigeonfront.client`. Other programs can embed the coordination that the
+processes share from `wigeonfront.coordination`.
 """
 
 from wigeonfront.clock import Clock, ManualClock, SystemClock
--- a/src/wigeonfront/__main__.py
+++ b/src/wigeonfront/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the command line with ``python -m wigeonfront``."""
+"""Runs the command line as ``python -m wigeonfront``."""
 
 import sys
 
--- a/src/wigeonfront/cli.py
+++ b/src/wigeonfront/cli.py
@@ -1,7 +1,7 @@
 """The command line: ``wigeonfront entry``, ``side``, ``storage``, operators' commands.
 
-A role or command is imported only once it is chosen, so that a process holds in
-memory just what it uses.
+The module of a role or command is imported only when it is run, so that a process
+loads only the code that it uses.
 """
 
 import argparse
@@ -24,9 +24,9 @@
 
 _COMMANDS = "wigeonfront.commands."
 _ROLES = (
-    ("entry", "run an entry: takes calls, runs Lots", EntrySettings),
-    ("side", "run a side: orders the engine beside it", SideSettings),
-    ("storage", "run the process of a machine with a disk", StorageSettings),
+    ("entry", "run an entry, which takes calls and runs Lots", EntrySettings),
+    ("side", "run a side, which gives orders to its engine", SideSettings),
+    ("storage", "run a storage process, which uses a disk", StorageSettings),
 )
 _SETTINGS_NOTE = (
     "Each setting is a flag and an environment variable: --drain-seconds and "
@@ -36,12 +36,12 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the program.
+    """Parse the command line and run the command.
 
     Parameters
     ----------
     argv : sequence of str, optional
-        Arguments without the program's name; those of the process by default.
+        Arguments without the program name; those of the process by default.
 
     Returns
     -------
@@ -55,11 +55,12 @@
     except KeyboardInterrupt:
         return exit_codes.INTERRUPTED
     except BrokenPipeError:
-        # The reader of the output has gone; nothing more can be said to it.
+        # The reader of the output has closed it. Redirect what is still buffered, so
+        # that the interpreter doesn't fail again when it flushes at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return exit_codes.FAILED
-    except SystemExit as ended:
-        return ended.code if isinstance(ended.code, int) else exit_codes.USAGE
+    except SystemExit as error:
+        return error.code if isinstance(error.code, int) else exit_codes.USAGE
 
 
 def _run(arguments: argparse.Namespace) -> int:
@@ -74,7 +75,7 @@
     return handler(settings, arguments)
 
 
-# --- the parser --------------------------------------------------------------
+# --- parser ------------------------------------------------------------------
 
 
 def build_parser() -> argparse.ArgumentParser:
@@ -124,7 +125,7 @@
 ) -> argparse.ArgumentParser:
     parser = _add_role(commands, name, help, OperatorSettings, handler)
     parser.add_argument(
-        "--json", action="store_true", help="print JSON for programs, not a table"
+        "--json", action="store_true", help="print JSON instead of a table"
     )
     return parser
 
@@ -144,14 +145,14 @@
         "--expected",
         metavar="REVISION",
         type=int,
-        help="revision that the file was edited from; without it, the present one",
+        help="revision on which the file is based (default: the current one)",
     )
     apply.add_argument(
         "--wait",
         metavar="SECONDS",
         type=float,
         default=30.0,
-        help="how long to go on asking until it is in force (default 30)",
+        help="longest wait until it is in force everywhere (default 30)",
     )
     diff = _add_operation(
         actions, "diff", "show what apply would change", "catalogue:diff"
@@ -164,13 +165,16 @@
 
 def _add_file(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "file", metavar="FILE", help="the document as JSON; '-' for input"
+        "file", metavar="FILE", help="the document as JSON; '-' for standard input"
     )
 
 
 def _add_inspection(commands: argparse._SubParsersAction) -> None:
     _add_operation(
-        commands, "status", "show members, targets, versions and Lots", "status:status"
+        commands,
+        "status",
+        "show processes, targets, versions and Lots",
+        "status:status",
     )
     _add_operation(
         commands, "drain", "have an entry finish its work and stop", "drain:drain"
@@ -178,42 +182,51 @@
     explain = _add_operation(
         commands,
         "explain",
-        "show why a request, a Lot or a sample went where it went",
+        "show the events of a request, a Lot or a sample",
         "explain:explain",
     )
-    explain.add_argument("request", metavar="ID", help="its id")
+    explain.add_argument(
+        "request", metavar="ID", help="id of the request, Lot or sample"
+    )
     explain.add_argument(
         "--log",
         metavar="FILE",
         nargs="+",
         default=[],
-        help="log files to read; without any, the entries are asked",
+        help="log files to search (default: ask the entries)",
     )
 
 
 def _add_quarantine(commands: argparse._SubParsersAction) -> None:
     quarantine = _command(
-        commands, "quarantine", "requests that are not sent, as they crash targets"
+        commands,
+        "quarantine",
+        "manage requests that are blocked because they crash targets",
     )
     actions = _subcommands(quarantine)
     _add_operation(
         actions,
         "list",
-        "list the requests under which targets have crashed",
+        "list the requests during which targets crashed",
         "quarantine:show",
     )
     release = _add_operation(
-        actions, "release", "have one sent to targets again", "quarantine:release"
+        actions,
+        "release",
+        "allow a request to be sent to targets again",
+        "quarantine:release",
+    )
+    release.add_argument(
+        "fingerprint", metavar="FINGERPRINT", help="fingerprint of the request"
     )
-    release.add_argument("fingerprint", metavar="FINGERPRINT", help="of the request")
 
 
 def _add_check_config(commands: argparse._SubParsersAction) -> None:
     parser = _command(
         commands,
         "check-config",
-        "check the settings of a role, and a catalogue file",
-        "Check the settings that a role would start with.",
+        "check the settings of a role and a catalogue file",
+        "Check the settings with which a role would start.",
     )
     roles = _subcommands(parser)
     named = [(name, role) for name, _, role in _ROLES]
@@ -228,27 +241,29 @@
 def _add_operation_of(
     roles: argparse._SubParsersAction, name: str, role: type
 ) -> argparse.ArgumentParser:
-    help = f"check settings of {name}"
+    help = f"check the settings of {name}"
     return _add_role(roles, name, help, role, "check_config:check_config")
 
 
 def _add_lot(commands: argparse._SubParsersAction) -> None:
-    lot = _command(commands, "lot", "work with Lots as a trainer does")
+    lot = _command(commands, "lot", "submit Lots as a trainer")
     actions = _subcommands(lot)
     submit = _add_operation(
         actions,
         "submit",
-        "submit a Lot, wait for its answer and acknowledge it",
+        "submit a Lot, wait for its answer and acknowledge the answer",
         "lot:submit",
     )
     submit.add_argument(
-        "file", metavar="FILE", help="the Lot's body as JSON; '-' for input"
+        "file", metavar="FILE", help="the Lot as JSON; '-' for standard input"
     )
     submit.add_argument(
         "--api-key-file",
         metavar="FILE",
-        help="file with the API key; WIGEONFRONT_API_KEY without it",
+        help="file with the API key (default: the variable WIGEONFRONT_API_KEY)",
     )
     submit.add_argument(
-        "--output", metavar="FILE", help="write the answer here, not to the output"
+        "--output",
+        metavar="FILE",
+        help="write the answer to this file, not to standard output",
     )
--- a/src/wigeonfront/clock.py
+++ b/src/wigeonfront/clock.py
@@ -1,4 +1,4 @@
-"""Time, passed in as an interface.
+"""Clocks, which are passed in so that tests can control the time.
 
 Durations are ``float`` seconds, as in the standard library's `time` module.
 """
@@ -9,13 +9,13 @@
 
 
 class Clock(Protocol):
-    """What the system asks of a clock."""
+    """The interface of a clock."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go backwards; the origin is arbitrary."""
+        """Return seconds that never decrease, from an arbitrary origin."""
 
     def boottime(self) -> float:
-        """Return seconds like `monotonic` that also count while the VM is suspended."""
+        """Return seconds like `monotonic` that also pass while the VM is suspended."""
 
     def time(self) -> float:
         """Return seconds since the Unix epoch."""
@@ -25,14 +25,14 @@
 
 
 class SystemClock:
-    """The machine's own clock."""
+    """The clock of the operating system."""
 
     def monotonic(self) -> float:
         """Return `time.monotonic`."""
         return time.monotonic()
 
     def boottime(self) -> float:
-        """Return the reading of the clock that runs on through suspensions."""
+        """Return ``CLOCK_BOOTTIME``, which also advances while the VM is suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def time(self) -> float:
@@ -45,7 +45,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told, for tests and models.
+    """A clock that advances only on request, for tests and simulations.
 
     Parameters
     ----------
@@ -65,15 +65,15 @@
         self._lock = threading.Lock()
 
     def monotonic(self) -> float:
-        """Return the present reading."""
+        """Return the current reading."""
         return self._now
 
     def boottime(self) -> float:
-        """Return the present reading."""
+        """Return the current reading."""
         return self._now
 
     def time(self) -> float:
-        """Return the present reading."""
+        """Return the current reading."""
         return self._now
 
     def sleep(self, seconds: float) -> None:
--- a/src/wigeonfront/commands/__init__.py
+++ b/src/wigeonfront/commands/__init__.py
@@ -1,5 +1,5 @@
-"""Operators' commands, one module for each; `wigeonfront.cli` imports them lazily.
+"""The program's commands, one module for each; `wigeonfront.cli` imports them lazily.
 
-Each command is a function of the parsed arguments that returns an exit code of
-`wigeonfront.commands.exit_codes`.
+A command is a function that takes the settings and the parsed arguments, and returns
+an exit code of `wigeonfront.commands.exit_codes`.
 """
--- a/src/wigeonfront/commands/calls.py
+++ b/src/wigeonfront/commands/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' commands to an entry."""
+"""Calls to entries, which the operators' commands make."""
 
 import json
 from dataclasses import dataclass
@@ -29,12 +29,12 @@
 
     @property
     def successful(self) -> bool:
-        """Whether the status is 2xx."""
+        """Whether the HTTP status is 2xx."""
         return 200 <= self.status < 300
 
     @property
-    def words(self) -> str:
-        """The entry's explanation of a failure."""
+    def explanation(self) -> str:
+        """The entry's explanation of a failure, as one line of text."""
         if not isinstance(self.data, dict):
             return f"HTTP {self.status}: {self.data}"
         parts = (self.data.get(name) for name in ("error", "reason", "detail"))
@@ -43,20 +43,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreachable:
-    """No entry got the call."""
+    """No entry received the call."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerLost:
-    """The call was sent and no whole answer came; it may have taken effect."""
+    """The call was sent, but no complete answer came; it may have taken effect."""
 
     reason: str
 
 
-def path_of(*parts: str) -> str:
-    """Return a path whose later parts are quoted."""
+def quoted_path(*parts: str) -> str:
+    """Return `parts` joined to a path; all but the first are percent-encoded."""
     first, *rest = parts
     return "/".join([first, *(quote(part, safe="") for part in rest)])
 
@@ -66,12 +66,12 @@
 ) -> Response | Unreachable | AnswerLost:
     """Call the first entry that can be reached.
 
-    A call that is not a GET is sent to another entry only if it certainly did not
-    arrive at the one before.
+    A call other than GET is sent to the next entry only when it is certain that it
+    did not arrive at the one before.
     """
     reasons = []
     for address in settings.entry:
-        answer = call_one(str(address), settings.timeout_seconds, method, path, body)
+        answer = call_entry(str(address), settings.timeout_seconds, method, path, body)
         if isinstance(answer, Response):
             return answer
         reasons.append(f"{address}: {answer.reason}")
@@ -80,10 +80,10 @@
     return Unreachable(", ".join(reasons))
 
 
-def call_one(
+def call_entry(
     address: str, timeout: float, method: str, path: str, body: Any = None
 ) -> Response | Unreachable | AnswerLost:
-    """Call the entry at `address`."""
+    """Call the entry at `address`, which must answer within `timeout` seconds."""
     pool = Pool(address)
     answer = pool.call(method, path, body, timeout=timeout)
     pool.close()
@@ -91,10 +91,10 @@
         return Unreachable(answer.reason)
     if isinstance(answer, Lost):
         return AnswerLost(answer.reason)
-    return Response(address, answer.status, _data(answer))
+    return Response(address, answer.status, _decode_body(answer))
 
 
-def _data(answer: Answer) -> Any:
+def _decode_body(answer: Answer) -> Any:
     try:
         return json.loads(answer.body)
     except ValueError:
--- a/src/wigeonfront/commands/catalogue.py
+++ b/src/wigeonfront/commands/catalogue.py
@@ -1,8 +1,8 @@
 """``wigeonfront catalogue get``, ``diff``, ``apply`` and ``history``.
 
 A change is a compare-and-swap on the document's revision, so that two operators who
-edit at once can't undo each other's change: the later one gets a conflict and sees
-what the other has written.
+edit at the same time can't undo each other's change: the later one gets a conflict and
+the differences from what the other one has written.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 from wigeonfront.clock import Clock, SystemClock
 from wigeonfront.commands import exit_codes
 from wigeonfront.commands.calls import AnswerLost, Response, Unreachable, call
-from wigeonfront.commands.differences import FieldChange, changes
+from wigeonfront.commands.differences import FieldChange, find_changes
 from wigeonfront.commands.documents import BadFile, read_document
 from wigeonfront.commands.output import (
     print_error,
@@ -35,7 +35,7 @@
 
 
 def get(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """Print the document as it is now."""
+    """Print the current document."""
     answer = call(settings, "GET", CATALOGUE_PATH)
     if not isinstance(answer, Response) or not answer.successful:
         return report_failure(answer)
@@ -47,14 +47,14 @@
 
 
 def diff(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """Show what ``apply`` would change; exits 1 when there is a difference."""
-    wanted = _wanted(arguments.file)
+    """Print the changes that ``apply`` would make; return exit code 1 if there are any."""
+    wanted = _read_wanted(arguments.file)
     if wanted is None:
         return exit_codes.USAGE
-    present = _present(settings)
-    if isinstance(present, Response | Unreachable | AnswerLost):
-        return report_failure(present)
-    found = changes(present[0], _redacted(wanted))
+    current = _fetch_current(settings)
+    if isinstance(current, Response | Unreachable | AnswerLost):
+        return report_failure(current)
+    found = find_changes(current[0], _with_redacted_keys(wanted))
     if arguments.json:
         print_json([asdict(change) for change in found])
     elif found:
@@ -63,7 +63,7 @@
 
 
 def history(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """List the versions that were applied with what each changed."""
+    """Print the versions that were applied and what each of them changed."""
     answer = call(settings, "GET", HISTORY_PATH)
     if not isinstance(answer, Response) or not answer.successful:
         return report_failure(answer)
@@ -74,7 +74,7 @@
     before: dict[str, Any] = {}
     for version in answer.data:
         document = version["document"]
-        for change in changes(before, document):
+        for change in find_changes(before, document):
             cells = [change.field, change.before, change.after]
             rows.append([version["version"], *cells])
         before = document
@@ -83,29 +83,29 @@
 
 
 def apply(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """Write the document of a file, and wait until it is in force everywhere."""
-    wanted = _wanted(arguments.file)
+    """Write the document of a file and wait until it is in force everywhere."""
+    wanted = _read_wanted(arguments.file)
     if wanted is None:
         return exit_codes.USAGE
     expected = arguments.expected
     if expected is None:
-        present = _present(settings)
-        if isinstance(present, Response | Unreachable | AnswerLost):
-            return report_failure(present)
-        expected = present[1]
+        current = _fetch_current(settings)
+        if isinstance(current, Response | Unreachable | AnswerLost):
+            return report_failure(current)
+        expected = current[1]
     body = {"expected": expected, "document": wanted}
     answer = call(settings, "PUT", CATALOGUE_PATH, body)
     if isinstance(answer, Response) and answer.status == CONFLICT:
-        return _conflict(settings, wanted)
+        return _report_conflict(settings, wanted)
     if not isinstance(answer, Response) or not answer.successful:
         return report_failure(answer)
     version = answer.data["version"]
     print(f"stored: version {version}", file=sys.stderr)
-    waiting = wait_until_in_force(settings, version, arguments.wait)
+    behind = wait_until_in_force(settings, version, arguments.wait)
     if arguments.json:
-        print_json(answer.data | {"in_force": not waiting, "waiting": waiting})
-    if waiting:
-        print_error(f"not yet in force at {', '.join(waiting)}")
+        print_json(answer.data | {"in_force": not behind, "waiting": behind})
+    if behind:
+        print_error(f"not yet in force at {', '.join(behind)}")
         return exit_codes.NOT_IN_FORCE
     print("accepted: in force everywhere", file=sys.stderr)
     return exit_codes.OK
@@ -117,7 +117,7 @@
     seconds: float,
     clock: Clock | None = None,
 ) -> list[str]:
-    """Ask until every entry uses a version; return those that don't after `seconds`."""
+    """Wait up to `seconds` for all entries to use `version`; return the ones behind."""
     clock = clock or SystemClock()
     end = clock.monotonic() + seconds
     while True:
@@ -131,7 +131,7 @@
         clock.sleep(POLL_SECONDS)
 
 
-def _wanted(path: str) -> dict[str, Any] | None:
+def _read_wanted(path: str) -> dict[str, Any] | None:
     document = read_document(path)
     if isinstance(document, BadFile):
         print_error(document.reason)
@@ -139,8 +139,8 @@
     return json.loads(document)
 
 
-def _present(settings: OperatorSettings) -> tuple[dict[str, Any], int] | Answer:
-    """Return the document as it is now, and its revision; 0 where there is none."""
+def _fetch_current(settings: OperatorSettings) -> tuple[dict[str, Any], int] | Answer:
+    """Return the current document and its revision; empty and 0 if there is none."""
     answer = call(settings, "GET", CATALOGUE_PATH)
     if isinstance(answer, Response) and answer.status == NOT_FOUND:
         return {}, 0
@@ -149,18 +149,18 @@
     return answer
 
 
-def _conflict(settings: OperatorSettings, wanted: dict[str, Any]) -> int:
-    """Show what somebody else has written meanwhile."""
-    print_error("conflict, nothing written: somebody else changed it")
-    present = _present(settings)
-    if isinstance(present, tuple):
-        found = changes(present[0], _redacted(wanted))
+def _report_conflict(settings: OperatorSettings, wanted: dict[str, Any]) -> int:
+    """Print how the file differs from the document that someone else has written."""
+    print_error("conflict, nothing was written: somebody else has changed the document")
+    current = _fetch_current(settings)
+    if isinstance(current, tuple):
+        found = find_changes(current[0], _with_redacted_keys(wanted))
         _print_changes(found, ["field", "theirs", "in file"])
     return exit_codes.CONFLICT
 
 
-def _redacted(document: dict[str, Any]) -> dict[str, Any]:
-    """Return a document with its keys as entries show them."""
+def _with_redacted_keys(document: dict[str, Any]) -> dict[str, Any]:
+    """Return a document with its API keys replaced by fingerprints, as entries do."""
     data = PlatformCatalogue().redacted(json.dumps(document).encode())
     return json.loads(data)
 
--- a/src/wigeonfront/commands/check_config.py
+++ b/src/wigeonfront/commands/check_config.py
@@ -1,4 +1,4 @@
-"""``wigeonfront check-config``: check settings and a catalogue file, offline."""
+"""``wigeonfront check-config``: check settings and a catalogue file offline."""
 
 import argparse
 import os
@@ -9,17 +9,17 @@
 from wigeonfront.commands import exit_codes
 from wigeonfront.commands.documents import BadFile, read_document
 from wigeonfront.commands.output import print_error, print_json, print_table
-from wigeonfront.commands.run import resolved
+from wigeonfront.commands.run import resolve_settings
 from wigeonfront.settings import ProcessSettings, Rejected, unknown_variables
 
 
 def check_config(settings: Any, arguments: argparse.Namespace) -> int:
-    """Print the settings that a role would start with; check a catalogue file.
+    """Print the settings with which a role would start, and check a catalogue file.
 
-    Each setting was found good for itself before this is called.
+    `wigeonfront.cli` has already checked the value of each setting.
     """
     if isinstance(settings, ProcessSettings):
-        settings = resolved(settings)
+        settings = resolve_settings(settings)
     if isinstance(settings, Rejected):
         for error in settings.errors:
             print_error(str(error))
@@ -32,20 +32,22 @@
     unknown = unknown_variables(os.environ)
     for name in unknown:
         print_error(f"unknown environment variable {name}")
-    good = not arguments.catalogue or _check_catalogue(arguments.catalogue)
-    return exit_codes.OK if good and not unknown else exit_codes.USAGE
+    catalogue_accepted = not arguments.catalogue or _check_catalogue(
+        arguments.catalogue
+    )
+    return exit_codes.OK if catalogue_accepted and not unknown else exit_codes.USAGE
 
 
 def _describe(settings: Any) -> list[tuple[str, str]]:
     found = []
-    for each in fields(settings):
-        value = getattr(settings, each.name)
+    for field in fields(settings):
+        value = getattr(settings, field.name)
         if is_dataclass(value) and not hasattr(value, "port"):
             found += _describe(value)
         elif isinstance(value, tuple):
-            found.append((each.name, ",".join(map(str, value))))
+            found.append((field.name, ",".join(map(str, value))))
         else:
-            found.append((each.name, str(value)))
+            found.append((field.name, str(value)))
     return found
 
 
@@ -54,7 +56,7 @@
     if isinstance(document, BadFile):
         print_error(document.reason)
         return False
-    # Only this check needs the platform's adapter.
+    # Imported here because only this check needs the platform's adapter.
     from wigeonfront.platform.catalogue import PlatformCatalogue
 
     found = PlatformCatalogue().decode(document)
--- a/src/wigeonfront/commands/differences.py
+++ b/src/wigeonfront/commands/differences.py
@@ -1,4 +1,4 @@
-"""The differences between two JSON objects, field by field."""
+"""Differences between two JSON objects, field by field."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -8,19 +8,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldChange:
-    """A field that differs; `before` or `after` may be ``(none)``."""
+    """A field that differs; a side that lacks the field has the value ``(none)``."""
 
     field: str
     before: Any
     after: Any
 
 
-def changes(before: dict[str, Any], after: dict[str, Any]) -> list[FieldChange]:
-    """Return the fields that differ, by their dotted paths, in order.
+def find_changes(before: dict[str, Any], after: dict[str, Any]) -> list[FieldChange]:
+    """Return the fields that differ, sorted by their dotted paths.
 
     Examples
     --------
-    >>> changes({"limits": {"rate": 5}}, {"limits": {"rate": 9}})
+    >>> find_changes({"limits": {"rate": 5}}, {"limits": {"rate": 9}})
     [FieldChange(field='limits.rate', before=5, after=9)]
     """
     old, new = flatten(before), flatten(after)
@@ -32,23 +32,23 @@
 
 
 def flatten(value: dict[str, Any], prefix: str = "") -> dict[str, Any]:
-    """Return the leaves of nested objects by their dotted paths.
+    """Return the values in nested objects by their dotted paths.
 
-    A list of named objects is taken as an object, by their names.
+    A list of objects that have names is treated as an object with these names as keys.
     """
     leaves: dict[str, Any] = {}
-    for name, each in value.items():
+    for name, child in value.items():
         path = prefix + name
-        each = _by_name(each)
-        if isinstance(each, dict) and each:
-            leaves.update(flatten(each, path + "."))
+        child = _by_name(child)
+        if isinstance(child, dict) and child:
+            leaves.update(flatten(child, path + "."))
         else:
-            leaves[path] = each
+            leaves[path] = child
     return leaves
 
 
 def _by_name(value: Any) -> Any:
     named = isinstance(value, list) and all(
-        isinstance(one, dict) and "name" in one for one in value
+        isinstance(item, dict) and "name" in item for item in value
     )
-    return {str(one["name"]): one for one in value} if value and named else value
+    return {str(item["name"]): item for item in value} if value and named else value
--- a/src/wigeonfront/commands/documents.py
+++ b/src/wigeonfront/commands/documents.py
@@ -1,4 +1,4 @@
-"""Catalogue documents in files."""
+"""Reads catalogue documents from files."""
 
 import json
 import sys
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BadFile:
-    """A file that holds no document, and why."""
+    """A file that contains no document; `reason` says why."""
 
     reason: str
 
 
 def read_document(path: str) -> bytes | BadFile:
-    """Return the JSON object that a file holds.
+    """Return the JSON object in a file, as it is written there.
 
     Parameters
     ----------
     path : str
-        ``-`` for standard input.
+        Path of the file; ``-`` for standard input.
     """
     try:
         text = _read_text(path)
--- a/src/wigeonfront/commands/drain.py
+++ b/src/wigeonfront/commands/drain.py
@@ -1,4 +1,4 @@
-"""``wigeonfront drain``: have an entry finish its work and stop."""
+"""``wigeonfront drain``: let an entry finish its work and stop."""
 
 import argparse
 
@@ -10,7 +10,7 @@
 
 
 def drain(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """Ask for a graceful stop; it may be asked for again at any time."""
+    """Ask an entry to drain and stop; asking again is harmless."""
     answer = call(settings, "POST", DRAIN_PATH, {})
     if not isinstance(answer, Response) or not answer.successful:
         return report_failure(answer)
--- a/src/wigeonfront/commands/exit_codes.py
+++ b/src/wigeonfront/commands/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the program."""
+"""Exit codes of the program, and their text in its help."""
 
 OK = 0
 FAILED = 1
--- a/src/wigeonfront/commands/explain.py
+++ b/src/wigeonfront/commands/explain.py
@@ -1,6 +1,7 @@
-"""``wigeonfront explain``: why a request, a Lot or a sample went where it went.
+"""``wigeonfront explain``: the events of a request, a Lot or a sample.
 
-The answer is its log lines, in time order, from the entries' memory or from log files.
+These are its log lines in time order, from the entries' memory or from log files. They
+show where it was sent, and why.
 """
 
 import argparse
@@ -9,18 +10,18 @@
 
 from wigeonfront.api.operations import EXPLAIN_PATH
 from wigeonfront.commands import exit_codes
-from wigeonfront.commands.calls import Response, call_one, path_of
+from wigeonfront.commands.calls import Response, call_entry, quoted_path
 from wigeonfront.commands.output import print_error, print_json, print_table
 from wigeonfront.observability.explain import Pairs, find_events, time_of
 from wigeonfront.settings import OperatorSettings
 
-_LEADING = ("time", "process", "event")
-_LEFT_OUT = frozenset({*_LEADING, "level"})
+_COLUMN_FIELDS = ("time", "process", "event")
+_OMITTED_FIELDS = frozenset({*_COLUMN_FIELDS, "level"})
 
 
 @dataclass(frozen=True, slots=True)
 class BadLog:
-    """A log file that can't be read, and why."""
+    """A log file that can't be read; `reason` says why."""
 
     reason: str
 
@@ -33,8 +34,8 @@
             print_error(found.reason)
             return exit_codes.USAGE
     else:
-        answered, found = _ask_entries(settings, arguments.request)
-        if not answered:
+        reached, found = _ask_entries(settings, arguments.request)
+        if not reached:
             print_error("no entry could be reached")
             return exit_codes.UNREACHABLE
     if arguments.json:
@@ -42,33 +43,34 @@
     elif found:
         _print_events(found)
     if not found:
-        print_error(f"nothing is known of {arguments.request}")
+        print_error(f"no events of {arguments.request} were found")
     return exit_codes.OK if found else exit_codes.FAILED
 
 
 def _ask_entries(settings: OperatorSettings, request: str) -> tuple[bool, list[Pairs]]:
-    path = path_of(EXPLAIN_PATH.rstrip("/"), request)
-    answered = False
+    path = quoted_path(EXPLAIN_PATH.rstrip("/"), request)
+    reached = False
     events: list[Pairs] = []
     for address in settings.entry:
-        answer = call_one(str(address), settings.timeout_seconds, "GET", path)
+        answer = call_entry(str(address), settings.timeout_seconds, "GET", path)
         if not isinstance(answer, Response):
             print_error(f"{address}: {answer.reason}")
             continue
-        answered = True
+        reached = True
         if answer.successful:
             events += answer.data["events"]
-    return answered, sorted(events, key=time_of)
+    return reached, sorted(events, key=time_of)
 
 
 def search_logs(request: str, paths: list[str]) -> list[Pairs] | BadLog:
-    """Return the events of a request from log files, which are read twice.
+    """Return the events of a request from log files; each file is read twice.
 
     Parameters
     ----------
     request : str
-        Of a request, a Lot, a sample, or an idempotency key.
+        Id of a request, a Lot or a sample, or an idempotency key.
     paths : list of str
+        Paths of the log files.
     """
 
     def lines() -> Iterator[str]:
@@ -85,8 +87,14 @@
 def _print_events(events: list[Pairs]) -> None:
     start = time_of(events[0])
     rows = []
-    for each in events:
-        details = [f"{k}={v}" for k, v in each.items() if k not in _LEFT_OUT]
-        offset = f"+{time_of(each) - start:.3f}s"
-        rows.append([offset, each.get("process"), each.get("event"), " ".join(details)])
+    for event in events:
+        details = [
+            f"{name}={value}"
+            for name, value in event.items()
+            if name not in _OMITTED_FIELDS
+        ]
+        offset = f"+{time_of(event) - start:.3f}s"
+        rows.append(
+            [offset, event.get("process"), event.get("event"), " ".join(details)]
+        )
     print_table(["time", "process", "event", "details"], rows)
--- a/src/wigeonfront/commands/lot.py
+++ b/src/wigeonfront/commands/lot.py
@@ -27,8 +27,8 @@
 
 
 def submit(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """Submit the Lot of a file, write its answer and acknowledge it."""
-    body = _read(arguments.file)
+    """Submit the Lot in a file, write its answer and acknowledge the answer."""
+    body = _read_body(arguments.file)
     if body is None:
         return exit_codes.USAGE
     try:
@@ -36,38 +36,43 @@
     except OSError as error:
         print_error(f"{arguments.api_key_file}: {error.strerror}")
         return exit_codes.USAGE
-    lot = _lot(body)
+    lot = _client_lot(body)
     addresses = [str(address) for address in settings.entry]
     bar = tqdm(total=len(lot.samples), unit="sample", file=sys.stderr)
 
-    def told(progress: client.LotProgress) -> None:
+    def show_progress(progress: client.LotProgress) -> None:
         bar.update(progress.finished - bar.n)
 
     trainer = client.TrainerClient(
         addresses,
         body.trainer,
         progress=bar.write,
-        samples_told=told,
+        samples_told=show_progress,
         api_key=api_key,
     )
     with closing(trainer):
         with bar:
-            end = trainer.submit_lot(lot, body.timeout or DEFAULT_SECONDS)
-        if not isinstance(end, client.LotAnswered):
-            return _report(end, arguments.json)
-        _write(end, arguments)
+            lot_outcome = trainer.submit_lot(lot, body.timeout or DEFAULT_SECONDS)
+        if not isinstance(lot_outcome, client.LotAnswered):
+            return _report_failure(lot_outcome, arguments.json)
+        _write_answer(lot_outcome, arguments)
         acknowledged = trainer.acknowledge(lot, settings.timeout_seconds)
     if not isinstance(acknowledged, client.Acknowledged):
-        print_error(f"answered, but not acknowledged: {acknowledged}")
+        print_error(
+            f"the Lot was answered, but the answer is not acknowledged: {acknowledged}"
+        )
         return exit_codes.FAILED
-    whole = all(isinstance(each, Completed) for each in end.outcomes.values())
-    return exit_codes.OK if whole else exit_codes.FAILED
+    all_completed = all(
+        isinstance(outcome, Completed) for outcome in lot_outcome.outcomes.values()
+    )
+    return exit_codes.OK if all_completed else exit_codes.FAILED
 
 
 def read_api_key(path: str | None, environment: Mapping[str, str]) -> str:
-    """Return the API key in a file, or else that of the environment; or none.
+    """Return the API key in a file, or else that in the environment; empty if none.
 
-    It is no argument, as the arguments of a process can be seen by others.
+    The key can't be given as an argument, because other users of the machine can see
+    the arguments of a process.
 
     Raises
     ------
@@ -80,7 +85,7 @@
         return file.read().strip()
 
 
-def _read(path: str) -> LotBody | None:
+def _read_body(path: str) -> LotBody | None:
     try:
         if path == "-":
             data = sys.stdin.buffer.read()
@@ -95,16 +100,16 @@
     return None
 
 
-def _lot(body: LotBody) -> client.Lot:
+def _client_lot(body: LotBody) -> client.Lot:
     samples = tuple(
         client.Sample(
-            each.sample,
-            each.payload,
-            each.group,
-            each.max_tokens,
-            _reward(each.reward_call),
+            sample.sample,
+            sample.payload,
+            sample.group,
+            sample.max_tokens,
+            _client_reward_call(sample.reward_call),
         )
-        for each in body.samples
+        for sample in body.samples
     )
     return client.Lot(
         lot=body.lot,
@@ -117,29 +122,29 @@
     )
 
 
-def _reward(body: RewardBody | None) -> client.RewardCall | None:
+def _client_reward_call(body: RewardBody | None) -> client.RewardCall | None:
     return client.RewardCall(body.route, body.path, body.payload) if body else None
 
 
 # --- answers -----------------------------------------------------------------
 
 
-def _write(answer: client.LotAnswered, arguments: argparse.Namespace) -> None:
-    """Write the answer; it must be safe before it is acknowledged."""
-    document = _document(answer)
+def _write_answer(answer: client.LotAnswered, arguments: argparse.Namespace) -> None:
+    """Write the answer, which must be stored before it is acknowledged."""
+    document = _answer_document(answer)
     if arguments.output:
         _write_file(arguments.output, document)
     elif arguments.json:
         print_json(document)
     else:
         _print_answer(document)
-    kinds = Counter(each["kind"] for each in document["samples"])
+    kinds = Counter(sample["kind"] for sample in document["samples"])
     counts = ", ".join(f"{count} {kind}" for kind, count in sorted(kinds.items()))
     print(f"answered by {answer.entry}: {counts}", file=sys.stderr)
     sys.stdout.flush()
 
 
-def _document(answer: client.LotAnswered) -> dict[str, Any]:
+def _answer_document(answer: client.LotAnswered) -> dict[str, Any]:
     samples = []
     for name, outcome in answer.outcomes.items():
         kind = "completed" if isinstance(outcome, Completed) else "given_up"
@@ -159,22 +164,22 @@
 def _print_answer(document: dict[str, Any]) -> None:
     rows = [
         [
-            each["sample"],
-            each["kind"],
-            ",".join(map(str, each.get("versions", ()))),
-            each.get("score", ""),
-            len(each.get("payload") or ""),
+            sample["sample"],
+            sample["kind"],
+            ",".join(map(str, sample.get("versions", ()))),
+            sample.get("score", ""),
+            len(sample.get("payload") or ""),
         ]
-        for each in document["samples"]
+        for sample in document["samples"]
     ]
     print_table(["sample", "outcome", "versions", "score", "characters"], rows)
 
 
-def _report(end: Any, as_json: bool) -> int:
-    name = type(end).__name__
+def _report_failure(lot_outcome: Any, as_json: bool) -> int:
+    name = type(lot_outcome).__name__
     if as_json:
-        print_json({"end": name, **asdict(end)})
-    print_error(f"the Lot was not answered: {end}")
-    if isinstance(end, client.LotUnreached):
+        print_json({"end": name, **asdict(lot_outcome)})
+    print_error(f"the Lot was not answered: {lot_outcome}")
+    if isinstance(lot_outcome, client.LotUnreached):
         return exit_codes.UNREACHABLE
     return exit_codes.FAILED
--- a/src/wigeonfront/commands/output.py
+++ b/src/wigeonfront/commands/output.py
@@ -1,4 +1,4 @@
-"""Output of the operators' commands: tables for people, JSON for programs."""
+"""Output of the operators' commands: tables for people and JSON for programs."""
 
 import json
 import sys
@@ -18,7 +18,7 @@
 
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print `rows` below their column names, aligned."""
+    """Print `rows` as aligned columns below the column names."""
     texts = [[cell_text(cell) for cell in row] for row in rows]
     table = [[name.upper() for name in columns], *texts]
     widths = [max(map(len, column)) for column in zip(*table, strict=True)]
@@ -28,14 +28,16 @@
 
 
 def print_objects(objects: Sequence[dict[str, Any]]) -> None:
-    """Print objects as a table with a column for every field that any has."""
-    flat = [flatten(each) for each in objects]
-    columns = list(dict.fromkeys(name for each in flat for name in each))
-    print_table(columns, [[each.get(name) for name in columns] for each in flat])
+    """Print objects as a table with a column for each field of any object."""
+    flat_objects = [flatten(item) for item in objects]
+    columns = list(dict.fromkeys(name for fields in flat_objects for name in fields))
+    print_table(
+        columns, [[fields.get(name) for name in columns] for fields in flat_objects]
+    )
 
 
 def print_document(document: dict[str, Any]) -> None:
-    """Print plain fields as lines and each list of objects as a titled table."""
+    """Print simple fields as lines, then each list of objects as a titled table."""
     fields = flatten(document)
     for name, value in fields.items():
         if not _is_table(value):
@@ -50,12 +52,12 @@
     return (
         isinstance(value, list)
         and bool(value)
-        and all(isinstance(each, dict) for each in value)
+        and all(isinstance(item, dict) for item in value)
     )
 
 
 def cell_text(value: Any) -> str:
-    """Return `value` as it stands in a table."""
+    """Return the text of `value` in a table."""
     if value is None or value == "":
         return "-"
     if isinstance(value, bool):
@@ -68,17 +70,17 @@
 
 
 def print_error(message: str) -> None:
-    """Print one line to standard error."""
+    """Print a message as one line to standard error."""
     print(f"wigeonfront: {message}", file=sys.stderr)
 
 
 def report_failure(answer: Response | Unreachable | AnswerLost) -> int:
-    """Print why a call failed and return the exit code."""
+    """Print why a call failed and return the exit code for it."""
     if isinstance(answer, Unreachable):
         print_error(f"no entry could be reached: {answer.reason}")
         return exit_codes.UNREACHABLE
     if isinstance(answer, AnswerLost):
         print_error(f"no answer, the call may have taken effect: {answer.reason}")
         return exit_codes.UNREACHABLE
-    print_error(f"{answer.entry} refused: {answer.words}")
+    print_error(f"{answer.entry} refused: {answer.explanation}")
     return exit_codes.FAILED
--- a/src/wigeonfront/commands/quarantine.py
+++ b/src/wigeonfront/commands/quarantine.py
@@ -1,4 +1,4 @@
-"""``wigeonfront quarantine list`` and ``release``: requests that crash targets."""
+"""``wigeonfront quarantine list`` and ``release``: manage quarantined requests."""
 
 import argparse
 from urllib.parse import quote
@@ -16,7 +16,7 @@
 
 
 def show(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """List the requests under which targets have crashed."""
+    """Print the requests during which targets crashed."""
     answer = call(settings, "GET", QUARANTINE_PATH)
     if not isinstance(answer, Response) or not answer.successful:
         return report_failure(answer)
@@ -28,7 +28,7 @@
 
 
 def release(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """Have a request sent to targets again."""
+    """Allow a request to be sent to targets again."""
     path = f"{QUARANTINE_PATH}/{quote(arguments.fingerprint, safe='')}"
     answer = call(settings, "DELETE", path)
     if not isinstance(answer, Response) or not answer.successful:
--- a/src/wigeonfront/commands/run.py
+++ b/src/wigeonfront/commands/run.py
@@ -1,4 +1,4 @@
-"""``wigeonfront entry``, ``side`` and ``storage``: run a process."""
+"""``wigeonfront entry``, ``side`` and ``storage``: run the process of a role."""
 
 import argparse
 import os
@@ -21,7 +21,7 @@
 )
 
 LOG_FLUSH_SECONDS = 0.3
-"""Longest wait for the last log lines to be written."""
+"""Longest wait until the last log lines are written."""
 
 _MODULES = {
     EntrySettings: "wigeonfront.node.entry",
@@ -31,32 +31,33 @@
 
 
 def run(given: ProcessSettings, arguments: argparse.Namespace) -> int:
-    """Run the role and end the process; return only where it can't start."""
-    settings = resolved(given)
+    """Run the process and exit; return an exit code only if it can't start."""
+    settings = resolve_settings(given)
     if isinstance(settings, Rejected):
         for error in settings.errors:
             print(f"wigeonfront: {error}", file=sys.stderr)
         return exit_codes.USAGE
-    # A reload is announced so; what may change is followed in the platform's store.
+    # The signal asks for a reload. It is ignored, because the process follows all that
+    # may change in the platform's store.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logs.configure(settings.name, settings.log_level)
     code = import_module(_MODULES[type(given)]).run(settings)
     logs.flush(LOG_FLUSH_SECONDS)
-    # Threads that still wait for a silent connection must not keep the process.
+    # A normal exit would wait for threads that are blocked on a silent connection.
     os._exit(code)
 
 
-def resolved(given: ProcessSettings) -> NodeSettings | Rejected:
-    """Return the settings of a process, with what a platform's file says."""
+def resolve_settings(given: ProcessSettings) -> NodeSettings | Rejected:
+    """Return the settings of a process, including those from a platform's file."""
     path = os.environ.get(PLATFORM_FILE_VARIABLE, "")
     if not path:
         return node_settings(given, None)
-    # Imported only where there is such a platform.
+    # Imported here because the module is needed only where a platform gives a file.
     from wigeonfront.platform.boot import read_boot
 
     try:
         laid_down = read_boot(path)
     except ValueError as error:
-        bad = BadSetting("file", PLATFORM_FILE_VARIABLE, path, f"a good file: {error}")
+        bad = BadSetting("file", PLATFORM_FILE_VARIABLE, path, f"a valid file: {error}")
         return Rejected((bad,))
     return node_settings(given, laid_down)
--- a/src/wigeonfront/configuration.py
+++ b/src/wigeonfront/configuration.py
@@ -1,7 +1,8 @@
-"""What the operators have configured: routes, services and limits.
+"""The operators' configuration: routes, services, limits and client accounts.
 
-A `Configuration` is immutable; processes replace the whole of it. `Configuration.find`
-selects a route, and `Route.choose_service` one of its services.
+A `Configuration` is immutable; a process replaces it as a whole when a new version
+arrives. `Configuration.find_route` selects the route of a request, and
+`Route.choose_service` selects one of its services.
 """
 
 import enum
@@ -11,7 +12,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """The kind of a route, which says whether its requests may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service and its weight among the services of a route."""
+    """A service of a route and its share of the route's requests."""
 
     service: str
     weight: float
@@ -29,32 +30,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests for a host and a path prefix go, and what bounds them.
+    """The services that get the requests of a host and path prefix, and their limits.
 
     Attributes
     ----------
     name, host, prefix : str
     kind : RouteKind
     shares : tuple of ServiceShare
-        At least one.
+        The services, at least one.
     timeout : float
-        Seconds that a request may be kept waiting.
+        Seconds within which a request must be answered.
     objective : float
-        Seconds within which an answer is worth its full value.
+        Latency objective in seconds: a later answer loses value.
     max_attempts : int
-        Targets that one attempt of a caller may be sent to.
+        Times that one call may be sent to a target; on a route for Lots, failures
+        after which a sample is given up.
     priority : int
-        0 is the most urgent.
+        Priority of the route's streams; 0 is the most urgent.
     resumable : bool
-        A broken stream may go on at another target.
+        Whether a broken stream may continue at another target.
     lot_deadline : float
-        Seconds after its submission at which a Lot is due.
+        Seconds after a Lot's submission at which it is due.
     max_queue : float
-        Seconds after its submission at which a sample may be given up.
+        Seconds after a Lot's submission at which its samples may be given up.
     single_version : bool
-        A sample must come from one version of the weights.
+        Whether each sample must come from a single version of the weights.
     public : bool
-        Calls need no API key.
+        Whether calls need no API key.
     """
 
     name: str
@@ -78,42 +80,49 @@
         return self.kind is RouteKind.IDEMPOTENT
 
     def stream_priority(self, account_priority: int | None) -> int | None:
-        """Return the rank of a stream at its engine; ``None`` for other requests.
+        """Return the priority of a stream at its engine; ``None`` for other requests.
 
         Parameters
         ----------
         account_priority : int or None
-            Priority of the client account; it goes before the route's.
+            Priority of the client account, which overrides the route's.
         """
         if self.kind is not RouteKind.STREAMING:
             return None
         return self.priority if account_priority is None else account_priority
 
     def choose_service(self, draw: float) -> str:
-        """Return the service for a random `draw` from 0 (included) to 1."""
+        """Return a service, chosen at random by the weights of the shares.
+
+        Parameters
+        ----------
+        draw : float
+            A random number from 0 (included) to 1 (excluded).
+        """
         total = sum(share.weight for share in self.shares)
-        rest = draw * total
+        remaining = draw * total
         for share in self.shares:
-            rest -= share.weight
-            if rest < 0:
+            remaining -= share.weight
+            if remaining < 0:
                 return share.service
         return self.shares[-1].service
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service of targets.
+    """A service, which a group of targets provides.
 
     Attributes
     ----------
     name : str
     health_path : str
+        Path of the targets' health check.
     max_connections : int
-        Connections that one target accepts from all callers together.
+        Connections that one target accepts from all its clients together.
     slots : int
         Requests that one engine runs at once; 0 for plain services.
     models : tuple of str
-        Models that its engines serve; none for plain services.
+        Models that the service's engines serve; empty for plain services.
     event_tokens : int
         Tokens in one event of an engine's stream.
     """
@@ -128,7 +137,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send: bytes, and seconds to take or to stay idle."""
+    """Limits of a caller's connection.
+
+    Attributes
+    ----------
+    header_bytes, body_bytes : int
+        Largest header section and largest body of a request.
+    header_seconds : float
+        Time within which the header section must arrive.
+    idle_seconds : float
+        Time without data after which a connection is closed.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 33_554_432
@@ -138,17 +157,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that is configured, at one version.
+    """One version of the whole configuration.
 
     Attributes
     ----------
     version : int
     routes : tuple of Route
     services : dict of str to Service
-        By their names.
+        The services by their names.
     limits : CallerLimits
     accounts : AccountDirectory or None
-        Who may call; ``None`` where calls need no keys.
+        The client accounts that may call; ``None`` where calls need no API keys.
     """
 
     version: int
@@ -158,7 +177,7 @@
     accounts: AccountDirectory | None = field(default=None, repr=False)
 
     def requires_single_version(self, service: str) -> bool:
-        """Tell whether a route wants each sample of `service` from one version."""
+        """Return whether a route needs each sample of `service` from one version."""
         return any(
             route.single_version and share.service == service
             for route in self.routes
@@ -166,7 +185,7 @@
         )
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of `host` with the longest prefix that begins `path`."""
+        """Return the route of `host` whose prefix is the longest match of `path`."""
         best: Route | None = None
         for route in self.routes:
             if route.host != host or not path.startswith(route.prefix):
--- a/src/wigeonfront/duties.py
+++ b/src/wigeonfront/duties.py
@@ -1,27 +1,32 @@
-"""What one machine at a time does for all, at the platform, and how a call ended."""
+"""Duties towards the platform that one machine at a time performs for the deployment.
+
+Also the outcomes of the calls to the platform that a duty makes.
+"""
 
 import enum
 from dataclasses import dataclass
 
 
 class Duty(enum.Enum):
-    """What one machine at a time does for all."""
+    """A duty that one machine at a time performs for the whole deployment."""
 
     USAGE = "usage"
-    """Reports how many requests of each client account began."""
+    """Report how many requests of each client account have started."""
 
     SCALING = "scaling"
-    """Orders how many targets a service has."""
+    """Order the number of targets of each service."""
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """The platform has taken the call."""
+    """The platform has accepted the call."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotTaken:
-    """The platform has not taken it, or may have: it must be sent again as it was.
+    """The platform is not known to have accepted the call.
+
+    It may have done so, therefore the caller must repeat the call unchanged.
 
     Attributes
     ----------
--- a/src/wigeonfront/observability/__init__.py
+++ b/src/wigeonfront/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, metrics, and what explains a request afterwards; it starts no tasks."""
+"""Logs, metrics and the search for a request's log lines."""
--- a/src/wigeonfront/observability/explain.py
+++ b/src/wigeonfront/observability/explain.py
@@ -1,7 +1,7 @@
-"""Finds the log lines of a request, a Lot or a sample: in files, or in memory.
+"""Finds the log lines of a request, a Lot or a sample, in files or in memory.
 
-A line belongs to an id when it names it, or when it is a line of the whole Lot of a
-sample that was asked for, such as a change of its owner.
+A line belongs to an id when one of its fields is the id. The lines of a sample also
+include those about its whole Lot, such as a change of the Lot's owner.
 """
 
 import json
@@ -15,7 +15,7 @@
 NAMING_FIELDS = ("request", "lot", "sample", "key")
 
 RECENT_LINES = 2_000
-"""Lines that an entry remembers: at 300 bytes each 0.6 MB."""
+"""Log lines that an entry keeps in memory: 0.6 MB at 300 bytes each."""
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
 
@@ -48,9 +48,10 @@
     Parameters
     ----------
     id : str
-        Of a request, a Lot, a sample, or an idempotency key.
+        Id of a request, a Lot or a sample, or an idempotency key.
     read : callable
-        Returns the log lines; called twice, so that they need not be held in memory.
+        Returns the log lines. It is called twice, so that the lines need not be kept in
+        memory.
     """
     lots = {
         event["lot"]
@@ -60,14 +61,14 @@
     found = [
         event
         for event in _events(read())
-        if any(_names(event, field, id) for field in NAMING_FIELDS)
+        if any(_field_matches(event, field, id) for field in NAMING_FIELDS)
         or (event.get("lot") in lots and "sample" not in event)
     ]
     return sorted(found, key=time_of)
 
 
-def _names(event: Pairs, field: str, id: str) -> bool:
-    """Tell whether a field is `id`, or the Lot that an account calls so."""
+def _field_matches(event: Pairs, field: str, id: str) -> bool:
+    """Return whether a field is `id`, or is the Lot that `id` names for an account."""
     value = event.get(field)
     if value is None or field != "lot":
         return value == id
@@ -79,7 +80,7 @@
 
 
 def time_of(event: Pairs) -> float:
-    """Return an event's Unix time; 0 where it has none."""
+    """Return the Unix time of an event; 0 where the event has none."""
     try:
         return float(event.get("time", ""))
     except ValueError:
@@ -87,12 +88,12 @@
 
 
 class RecentEvents(logging.Handler):
-    """The newest log lines of this process.
+    """A log handler that keeps the newest log lines of this process in memory.
 
     Parameters
     ----------
     process : str
-        Name that each line gets.
+        Name of the process, which is added to each line.
     """
 
     def __init__(self, process: str) -> None:
@@ -101,10 +102,10 @@
         self._lines: deque[str] = deque(maxlen=RECENT_LINES)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Remember one line."""
+        """Keep one line; the oldest is dropped when there are `RECENT_LINES`."""
         start = f"time={record.created:.3f} process={self._process} "
         self._lines.append(start + record.getMessage())
 
     def find(self, id: str) -> list[Pairs]:
-        """Return the remembered events that belong to `id`."""
+        """Return the kept events that belong to `id`, in time order."""
         return find_events(id, lambda: list(self._lines))
--- a/src/wigeonfront/observability/logs.py
+++ b/src/wigeonfront/observability/logs.py
@@ -1,7 +1,7 @@
 """Structured logs: one line of key=value pairs for each event.
 
-Call `event` with the logger, the event's name and its fields. A value with a
-space, a quote or an equals sign is written as a JSON string.
+`event` logs an event by its name and its fields. A value with a space, a quote, an
+equals sign or another special character is written as a JSON string.
 """
 
 import json
@@ -40,13 +40,13 @@
     Parameters
     ----------
     logger : logging.Logger
-        Where to.
+        Logger that gets the line.
     name : str
-        Event name in snake case.
+        Name of the event in snake case.
     level : int
-        A level of `logging`.
+        Level of the line, as in `logging`.
     **fields
-        The event's key=value pairs.
+        The other key=value pairs of the line.
     """
     if logger.isEnabledFor(level):
         logger.log(level, "%s", format_pairs({"event": name, **fields}))
@@ -55,18 +55,19 @@
 DRAIN_PAUSE_SECONDS = 0.01
 
 QUEUE_LINES = 5_000
-"""Lines that may wait for a slow reader of the output; at 300 bytes each 1.5 MB."""
+"""Lines that may wait for a slow reader of the output: 1.5 MB at 300 bytes each."""
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines from a thread of its own, so that no caller waits for the reader.
+    """A log handler that writes in its own thread, so that logging never blocks.
 
-    Lines beyond `QUEUE_LINES` are dropped and counted; the count is written once
-    there is room again.
+    While `QUEUE_LINES` lines are queued, further lines are dropped and counted. The
+    count is logged with the next lines that are written.
 
     Parameters
     ----------
     stream : text stream
+        Output for the lines.
     """
 
     def __init__(self, stream: Any) -> None:
@@ -74,13 +75,13 @@
         self._stream = stream
         self._lines: queue.Queue[str] = queue.Queue(QUEUE_LINES)
         self._dropped = 0
-        # Several threads count what they drop while the writer takes the count.
+        # Several threads increment the count while the writer reads and resets it.
         self._count_lock = threading.Lock()
         self._thread = threading.Thread(target=self._write, name="logs", daemon=True)
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue one line."""
+        """Queue one line, or count it as dropped if the queue is full."""
         try:
             self._lines.put_nowait(self.format(record))
         except queue.Full:
@@ -88,7 +89,7 @@
                 self._dropped += 1
 
     def drain(self, seconds: float) -> None:
-        """Wait until the queued lines are written, at most `seconds`."""
+        """Wait up to `seconds` until all queued lines are written."""
         deadline = time.monotonic() + seconds
         while self._lines.unfinished_tasks:
             if time.monotonic() >= deadline:
@@ -100,7 +101,7 @@
             lines = [self._lines.get()]
             while len(lines) < QUEUE_LINES and not self._lines.empty():
                 lines.append(self._lines.get())
-            taken = len(lines)
+            line_count = len(lines)
             with self._count_lock:
                 dropped, self._dropped = self._dropped, 0
             if dropped:
@@ -109,15 +110,25 @@
                 self._stream.write("\n".join(lines) + "\n")
                 self._stream.flush()
             except (OSError, ValueError):
-                # Nobody can be told: the output itself is gone.
+                # The output is closed, and there is no other place to report that.
                 return
             finally:
-                for _ in range(taken):
+                for _ in range(line_count):
                     self._lines.task_done()
 
 
 def configure(process: str, level: str = "info") -> None:
-    """Send logs as key=value lines to standard output without ever blocking on it."""
+    """Send the logs of this process as key=value lines to standard output.
+
+    Logging never blocks on the output, see `BoundedHandler`.
+
+    Parameters
+    ----------
+    process : str
+        Name of the process, which is written in each line.
+    level : str
+        Lowest level that is logged.
+    """
     handler = BoundedHandler(sys.stdout)
     pattern = "time=%(created).3f level=%(levelname)s process="
     handler.setFormatter(
@@ -129,7 +140,7 @@
 
 
 def flush(seconds: float) -> None:
-    """Wait until lines of `BoundedHandler` are written, at most `seconds`."""
+    """Wait up to `seconds` for each `BoundedHandler` to write its queued lines."""
     for handler in logging.getLogger().handlers:
         if isinstance(handler, BoundedHandler):
             handler.drain(seconds)
--- a/src/wigeonfront/observability/metrics.py
+++ b/src/wigeonfront/observability/metrics.py
@@ -1,12 +1,13 @@
-"""Metrics: counters, gauges and histograms, for a scraper and for operators.
+"""Metrics of a process: counters, gauges and histograms.
 
 `Registry.render_text` writes the Prometheus text exposition format, version 0.0.4. The
 format's own client library would add 2.6 MB of resident memory to each process.
 
-A histogram counts seconds in an `hdrh.histogram.HdrHistogram` from 10 microseconds
-to an hour. One significant digit makes a bucket a 16th of its value wide at most. In
-4-byte counters it takes 2.8 KB of resident memory for each series, where two digits
-take 13 KB, and three digits in 8 bytes 189 KB (mean of 200 series in one process).
+A histogram counts durations from 10 microseconds to an hour in an
+`hdrh.histogram.HdrHistogram`. With one significant digit, a bucket is at most a 16th of
+its value wide. With 4-byte counters, each series takes 2.8 KB of resident memory; two
+digits would take 13 KB, and three digits with 8-byte counters 189 KB (mean of 200
+series in one process).
 """
 
 import threading
@@ -23,8 +24,8 @@
 WORD_BYTES = 4
 MAX_SERIES = 256
 OVERFLOW_LABEL = "other"
-# Powers of two are bucket borders of the histogram, so that counts below them
-# are exact.
+# Upper bounds of the exported buckets. Powers of two are bucket bounds of the
+# `HdrHistogram`, so that the counts below them are exact.
 BOUND_UNITS = tuple(2**exponent for exponent in range(5, 29))
 
 LabelValues = tuple[str, ...]
@@ -32,16 +33,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Distribution:
-    """What a histogram series has counted; durations in seconds.
+    """Counts of one series of a histogram; durations are in seconds.
 
     Attributes
     ----------
     count : int
-        Values observed.
+        Number of observed values.
     total : float
-        Their sum.
+        Sum of the observed values.
     below : tuple of int
-        Values below each of `BOUND_UNITS`, cumulative.
+        Number of values below each of `BOUND_UNITS`; cumulative.
     """
 
     count: int
@@ -55,8 +56,8 @@
 class _Metric:
     """A named metric with one series for each combination of label values.
 
-    At most `MAX_SERIES` series are kept, so that a caller who makes up names can't
-    fill the memory; the rest are counted together under `OVERFLOW_LABEL`.
+    At most `MAX_SERIES` series are kept, so that a caller that sends ever new names
+    can't exhaust the memory. Further series are counted as `OVERFLOW_LABEL`.
     """
 
     kind = ""
@@ -81,7 +82,7 @@
 
 
 class Counter(_Metric):
-    """A count that only rises."""
+    """A count that only increases."""
 
     kind = "counter"
 
@@ -91,7 +92,7 @@
         Parameters
         ----------
         amount : float
-            Not negative.
+            Amount to add; not negative.
         **labels
             A value for each label of the metric.
         """
@@ -101,12 +102,12 @@
 
 
 class Gauge(_Metric):
-    """A value that rises and falls, asked for when it is needed.
+    """A value that increases and decreases, read when the metrics are collected.
 
     Parameters
     ----------
     read : callable
-        Returns the value.
+        Returns the current value.
     """
 
     kind = "gauge"
@@ -116,23 +117,23 @@
         self._read = read
 
     def collect(self) -> dict[LabelValues, Reading]:
-        """Return the reading."""
+        """Return the current value as the only series."""
         return {(): self._read()}
 
 
 class Histogram(_Metric):
-    """Durations in seconds."""
+    """A distribution of durations in seconds."""
 
     kind = "histogram"
 
     def observe(self, seconds: float, **labels: object) -> None:
-        """Count one duration; one over an hour is counted as an hour."""
+        """Count one duration; the buckets count one over an hour as an hour."""
         units = min(max(int(seconds / UNIT_SECONDS), 1), MAX_UNITS)
         with self._lock:
             key = self._key(labels)
             series = self._series.get(key)
             if series is None:
-                series = self._series[key] = _Durations()
+                series = self._series[key] = _HistogramSeries()
             series.record(units, seconds)
 
     def collect(self) -> dict[LabelValues, Reading]:
@@ -141,8 +142,8 @@
             return {key: series.read() for key, series in self._series.items()}
 
 
-class _Durations:
-    """One series of a histogram."""
+class _HistogramSeries:
+    """The durations of one series of a histogram."""
 
     __slots__ = ("_counts", "_total")
 
@@ -164,14 +165,14 @@
         )
 
     def _cumulative(self) -> Iterator[int]:
-        counted = 0
+        cumulative_count = 0
         low = 0
         for bound in BOUND_UNITS:
-            counted += self._counted_between(low, bound)
+            cumulative_count += self._count_between(low, bound)
             low = bound
-            yield counted
+            yield cumulative_count
 
-    def _counted_between(self, low: int, high: int) -> int:
+    def _count_between(self, low: int, high: int) -> int:
         first = self._counts.get_counts_array_index(low)
         last = self._counts.get_counts_array_index(high)
         indexes = range(first, last)
@@ -201,7 +202,7 @@
         return self._add(Counter(name, help, labels))
 
     def gauge(self, name: str, help: str, read: Callable[[], float]) -> Gauge:
-        """Declare a gauge, whose value `read` returns."""
+        """Declare a gauge; `read` returns its value."""
         return self._add(Gauge(name, help, read))
 
     def histogram(
--- a/src/wigeonfront/openssl.py
+++ b/src/wigeonfront/openssl.py
@@ -1,9 +1,9 @@
-"""Leaves OpenSSL out of a daemon that speaks plain HTTP only.
+"""Keeps OpenSSL out of a process that uses plain HTTP only.
 
-Python's `ssl` and the OpenSSL variants of `hashlib` map libssl and libcrypto, which
-take 5 MiB of resident memory of the 32 that control may use on a node. urllib3,
-http.client, hashlib and hmac all go without them where they can't be imported;
-hashlib has the hashes used here, such as BLAKE2, built in.
+Python's `ssl` and the OpenSSL variants of `hashlib` map libssl and libcrypto. These
+take 5 MiB of resident memory, of the 32 MiB that the control processes may use on a
+node. urllib3, http.client, hashlib and hmac all work where the modules can't be
+imported: hashlib has its own implementations of the hashes used here, such as BLAKE2.
 """
 
 import sys
@@ -12,12 +12,13 @@
 
 
 def block_imports() -> bool:
-    """Make the import of OpenSSL's modules fail from now on.
+    """Make every later import of Python's OpenSSL modules fail.
 
     Returns
     -------
     bool
-        ``False``, and nothing is changed, where one of them is imported already.
+        Whether imports are blocked; ``False``, with nothing changed, where one of the
+        modules is already imported.
     """
     if any(sys.modules.get(name) for name in MODULES):
         return False
--- a/src/wigeonfront/outcomes.py
+++ b/src/wigeonfront/outcomes.py
@@ -1,8 +1,8 @@
-"""Outcomes of requests and of samples, as values.
+"""Outcomes of requests and of samples.
 
-Every request ends in exactly one of `Completed`, `NotRun`, `Unknown`, `Failed` and
-`Expired`; `http_status` says how each is told to a caller. A sample ends as `Completed`
-or `GivenUp`.
+Every request has exactly one of the outcomes `Completed`, `NotRun`, `Unknown`, `Failed`
+and `Expired`; `http_status` returns the HTTP status by which a caller learns of it. The
+outcome of a sample is `Completed` or `GivenUp`.
 """
 
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The target ran the request and the answer is whole.
+    """The target ran the request and its answer is complete.
 
     Attributes
     ----------
     payload : Any
         The target's answer: JSON data, or the text of a sample.
     versions : tuple of int
-        Every weight version that took part; empty for a plain service.
+        The weight versions that generated the answer; empty for a plain service.
     score : str
-        What the sample's reward call gave; empty where it has none.
+        Result of the sample's reward call; empty where the sample has none.
     """
 
     payload: Any
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class GivenUp:
-    """The sample could not be done: it failed too often, or its time was up."""
+    """The sample was given up: it failed too often, or its time had passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request certainly did not run on any target.
+    """The request did not run on any target; this is certain.
 
     Attributes
     ----------
     reason : str
     retry_after : float
-        Seconds after which the caller may come back.
+        Seconds after which the caller may retry.
     """
 
     reason: str
@@ -51,12 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may or may not have run; it is not run again.
+    """The request may or may not have run; the service does not repeat it.
 
     Attributes
     ----------
     reason : str
-        What was lost.
+        What was lost, such as the connection to the target.
     """
 
     reason: str
@@ -69,9 +69,9 @@
     Attributes
     ----------
     reason : str
-        The target's error.
+        The error that the target reported.
     status : int
-        HTTP status that the target gave.
+        HTTP status of the target's answer.
     """
 
     reason: str
@@ -80,12 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """The deadline passed; a target may have begun.
+    """The deadline passed; a target may have started to run the request.
 
     Attributes
     ----------
     retry_after : float
-        Seconds after which the caller may come back.
+        Seconds after which the caller may retry.
     """
 
     retry_after: float = 1.0
@@ -96,13 +96,18 @@
 
 @singledispatch
 def http_status(outcome: Outcome) -> int:
-    """Return the HTTP status that tells `outcome` to a caller.
+    """Return the HTTP status by which a caller learns of `outcome`.
 
     Returns
     -------
     int
-        200 completed, 503 not run, 409 unknown, 504 expired, or the target's
-        own status for a failure.
+        200 for `Completed`, 503 for `NotRun`, 409 for `Unknown`, 504 for `Expired`,
+        and the target's own status for `Failed`.
+
+    Raises
+    ------
+    TypeError
+        When `outcome` is no request outcome.
     """
     raise TypeError(f"not an outcome: {outcome!r}")
 
--- a/src/wigeonfront/setting_values.py
+++ b/src/wigeonfront/setting_values.py
@@ -1,6 +1,7 @@
-"""Values of settings: what a text must be to be accepted.
+"""Parsers for the values of settings.
 
-Each parser returns the value, or raises `ValueError`.
+Each parser takes the text of a setting and returns its value, or raises `ValueError`
+where the text is not accepted.
 """
 
 import re
@@ -17,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """A TCP address; `host` is an IP number or a host name, without brackets."""
+    """A TCP address; `host` is an IP address or a host name, without brackets."""
 
     host: str
     port: int
@@ -28,7 +29,7 @@
 
 
 def parse_name(text: str) -> str:
-    """Return `text` if it is a name of the system."""
+    """Return `text` if it is 1 to 63 letters, digits, dots, underscores or hyphens."""
     if not _NAME.fullmatch(text):
         raise ValueError(text)
     return text
@@ -42,7 +43,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that ``host:port`` names."""
+    """Return the address that is written as ``host:port``."""
     host, _, port = text.rpartition(":")
     if not _HOST.fullmatch(host) or not (port.isascii() and port.isdigit()):
         raise ValueError(text)
@@ -53,12 +54,12 @@
 
 
 def parse_addresses(text: str) -> tuple[Address, ...]:
-    """Return the addresses of a comma-separated list, at least one."""
+    """Return the addresses of a comma-separated list with at least one entry."""
     return tuple(parse_address(part.strip()) for part in text.split(","))
 
 
 def one_of(*choices: str) -> Callable[[str], str]:
-    """Return a parser that accepts just `choices`."""
+    """Return a parser that accepts only `choices`."""
 
     def parse(text: str) -> str:
         if text not in choices:
@@ -69,17 +70,17 @@
 
 
 def parse_duties(text: str) -> frozenset[Duty]:
-    """Return the duties of a comma-separated list, at least one."""
+    """Return the duties of a comma-separated list with at least one entry."""
     return frozenset(Duty(part.strip()) for part in text.split(","))
 
 
 def parse_switch(text: str) -> bool:
-    """Return whether `text` says yes."""
+    """Return whether `text` is ``yes``; only ``yes`` and ``no`` are accepted."""
     return one_of("yes", "no")(text) == "yes"
 
 
 def integer(low: int, high: int) -> Callable[[str], int]:
-    """Return a parser for whole numbers from `low` to `high`."""
+    """Return a parser for integers from `low` to `high`, both included."""
 
     def parse(text: str) -> int:
         number = int(text)
@@ -91,7 +92,7 @@
 
 
 def decimal(low: float, high: float) -> Callable[[str], float]:
-    """Return a parser for numbers from `low` to `high`."""
+    """Return a parser for decimal numbers from `low` to `high`, both included."""
 
     def parse(text: str) -> float:
         number = float(text)
--- a/src/wigeonfront/settings.py
+++ b/src/wigeonfront/settings.py
@@ -1,10 +1,10 @@
 """Settings of the processes: flags and environment variables, checked at start.
 
-A setting is declared once, as a field of the data class of the role that uses it,
-with its parser, default, accepted values and help. From the field follow the flag
-(``--drain-seconds``), the environment variable (``WIGEONFRONT_DRAIN_SECONDS``) and
-the line that is printed for a bad value. A flag goes before the environment, the
-environment before the file that a platform lays down, and that before the default.
+A setting is declared once, as a field of the dataclass of the role that uses it, with
+its parser, default, accepted values and help. The field determines the flag
+(``--drain-seconds``), the environment variable (``WIGEONFRONT_DRAIN_SECONDS``) and the
+error message for a bad value. A flag takes precedence over the environment variable,
+that over the file of settings that a platform provides, and the file over the default.
 """
 
 import argparse
@@ -29,23 +29,23 @@
 
 ENVIRONMENT_PREFIX = "WIGEONFRONT_"
 PLATFORM_FILE_VARIABLE = "WIGEONFRONT_BOOT"
-"""Where a platform names the file of settings that it lays down."""
+"""Environment variable with the path of a file of settings that a platform provides."""
 
 
 @dataclass(frozen=True, slots=True)
 class BadSetting:
-    """A setting whose value is missing or not accepted.
+    """A setting that is missing or has a value that is not accepted.
 
     Attributes
     ----------
     name : str
-        The setting.
+        Name of the setting.
     source : str
-        Flag or environment variable that gave `value`.
+        Flag or environment variable that gave `value`, or that would give it.
     value : str or None
-        What was given; ``None`` when the setting is required and missing.
+        The text that was given; ``None`` when the setting is required and missing.
     accepted : str
-        What would have been accepted.
+        Description of the accepted values.
     """
 
     name: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The settings were not accepted; every bad one is named."""
+    """The settings are not accepted; `errors` names every bad one."""
 
     errors: tuple[BadSetting, ...]
 
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Declaration:
-    """How a setting is read: kept in the metadata of its field."""
+    """How a setting is read and described; stored in the metadata of its field."""
 
     parse: Callable[[str], Any]
     accepted: str
@@ -120,16 +120,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProcessSettings:
-    """Settings of all processes; ``None`` is left to the file or the default."""
+    """Settings of all processes; the file or the default replaces ``None``."""
 
     name: str | None = _setting(
         parse_name,
         "1 to 63 letters, digits, '.', '_' or '-'",
-        "name of this machine, unique among all",
+        "name of this machine, unique in the deployment",
         None,
     )
     host: str | None = _setting(
-        parse_name, "an IP number", "IP number of this machine", None
+        parse_name, "an IP address", "IP address of this machine", None
     )
     failure_domain: str | None = _setting(
         parse_name,
@@ -137,39 +137,44 @@
         "failure domain of this machine",
         None,
     )
-    store: Address | None = _optional_address("the platform's store")  # noqa: RUF009
+    store: Address | None = _optional_address("address of the platform's store")  # noqa: RUF009
     seeds: tuple[Address, ...] | None = _setting(
         parse_addresses,
         "host:port, or several separated by commas",
-        "peer addresses of some entries, the same list for all processes",
+        "peer addresses of some entries, the same list in all processes",
         None,
     )
     memory_mb: int | None = _optional_integer(
-        16, 1_000_000, "memory above which the process is killed, in MiB"
+        16, 1_000_000, "memory limit above which the process is killed, in MiB"
     )
     cores: float | None = _optional_decimal(
-        0.01, 1024, "processor time that the machine gives, in cores"
+        0.01, 1024, "processor time that this machine provides, in cores"
     )
     stop_seconds: float | None = _optional_decimal(
-        1, 3600, "from the stop signal until the process is killed"
+        1, 3600, "seconds from the stop signal until the process is killed"
     )
     drain_seconds: float | None = _optional_decimal(
-        0.5, 3600, "within which a leaving target gets no new work"
+        0.5, 3600, "seconds within which new work to a draining target ends"
     )
     configuration_seconds: float | None = _optional_decimal(
-        0.5, 3600, "within which a changed configuration is in force"
+        0.5, 3600, "seconds within which a changed configuration is in force"
     )
     order_seconds: float | None = _optional_decimal(
-        0.1, 3600, "between the orders of two machines to one engine"
+        0.1, 3600, "seconds within which two machines must not both order an engine"
     )
     result_seconds: float | None = _optional_decimal(
-        1, 86_400, "for which results stay readable"
+        1, 86_400, "seconds for which results remain readable"
     )
     lease_seconds: float | None = _optional_decimal(
-        1, 600, "term of the lease by which a busy process is known to live"
+        1,
+        600,
+        "term in seconds of the lease by which a busy process is known to be alive",
     )
     log_level: str = _setting(
-        one_of(*_LOG_LEVELS), ", ".join(_LOG_LEVELS), "lowest level logged", "info"
+        one_of(*_LOG_LEVELS),
+        ", ".join(_LOG_LEVELS),
+        "lowest level that is logged",
+        "info",
     )
 
 
@@ -178,16 +183,16 @@
     """Settings of ``wigeonfront entry``."""
 
     front_address: Address | None = _optional_address(  # noqa: RUF009
-        "where the platform's callers connect"
+        "address for the platform's callers"
     )
     api_address: Address | None = _optional_address(  # noqa: RUF009
-        "where callers of /v1 connect"
+        "address for callers of /v1"
     )
     ready_address: Address | None = _optional_address(  # noqa: RUF009
-        "where a balancer asks for readiness"
+        "address for readiness checks of a load balancer"
     )
     peer_address: Address | None = _optional_address(  # noqa: RUF009
-        "where the system's other processes connect"
+        "address for the other processes of the deployment"
     )
     strict_revoke: bool | None = _setting(
         parse_switch,
@@ -197,25 +202,25 @@
         None,
     )
     revoke_seconds: float | None = _optional_decimal(
-        0.5, 3600, "age of the configuration beyond which --strict-revoke holds"
+        0.5, 3600, "seconds of age beyond which --strict-revoke refuses calls"
     )
     duty_address: Address | None = _optional_address(  # noqa: RUF009
-        "the platform's interface for duties of one machine at a time"
+        "address of the platform's interface for duties"
     )
     duties: frozenset[Duty] | None = _setting(
         parse_duties,
-        ", ".join(sorted(one.value for one in Duty)) + ", or several with commas",
-        "duties that one machine at a time does for all",
+        ", ".join(sorted(duty.value for duty in Duty)) + ", or several with commas",
+        "duties that one machine at a time performs for the deployment",
         None,
     )
     usage_window_seconds: float | None = _optional_decimal(
-        0.5, 3600, "length of the windows in which usage is counted"
+        0.5, 3600, "length in seconds of the windows in which usage is counted"
     )
     usage_due_seconds: float | None = _optional_decimal(
-        1, 3600, "after a window's end, within which its usage is due"
+        1, 3600, "seconds after the end of a window by which its usage must be reported"
     )
     tolerated_losses: int | None = _optional_integer(
-        0, 10, "disks that may be lost at the same time"
+        0, 10, "disks whose loss at the same time is tolerated"
     )
 
 
@@ -224,7 +229,7 @@
     """Settings of ``wigeonfront side``."""
 
     target: Address | None = _optional_address(  # noqa: RUF009
-        "the engine beside this process"
+        "address of the engine beside this process"
     )
     service: str | None = _setting(
         parse_name, "the name of a service", "service of that engine", None
@@ -236,10 +241,10 @@
     """Settings of ``wigeonfront storage``."""
 
     peer_address: Address | None = _optional_address(  # noqa: RUF009
-        "where the system's other processes connect"
+        "address for the other processes of the deployment"
     )
     data_folder: str | None = _setting(
-        parse_folder, "an absolute path", "folder of its disk", None
+        parse_folder, "an absolute path", "folder on the disk of this machine", None
     )
 
 
@@ -250,7 +255,7 @@
     entry: tuple[Address, ...] = _setting(
         parse_addresses,
         "host:port, or several separated by commas",
-        "entries to call (their --api-address), tried in this order",
+        "addresses of the entries to call (their --api-address), in order",
         (Address("127.0.0.1", 7700),),
     )
     timeout_seconds: float = _decimal(
@@ -277,37 +282,37 @@
 
 
 def unknown_variables(environ: Mapping[str, str]) -> tuple[str, ...]:
-    """Return the variables with the system's prefix that no role knows."""
-    known = {variable(each.name) for role in ROLES for each in fields(role)}
+    """Return the variables with our prefix that belong to no setting of any role."""
+    known = {variable(setting.name) for role in ROLES for setting in fields(role)}
     known.add(PLATFORM_FILE_VARIABLE)
-    own = (name for name in environ if name.startswith(ENVIRONMENT_PREFIX))
-    return tuple(sorted(name for name in own if name not in known))
+    with_prefix = (name for name in environ if name.startswith(ENVIRONMENT_PREFIX))
+    return tuple(sorted(name for name in with_prefix if name not in known))
 
 
 def add_flags(parser: argparse.ArgumentParser, role: type) -> None:
-    """Add a flag to `parser` for each setting of `role`; values stay text."""
-    for each in fields(role):
+    """Add a flag to `parser` for each setting of `role`; the values remain text."""
+    for setting in fields(role):
         parser.add_argument(
-            flag(each.name),
-            dest=each.name,
+            flag(setting.name),
+            dest=setting.name,
             metavar="VALUE",
-            help=_help_text(each).replace("%", "%%"),
+            help=_help_text(setting).replace("%", "%%"),
         )
 
 
-def _help_text(each: Field) -> str:
-    declaration: Declaration = each.metadata["setting"]
-    return f"{declaration.help} ({declaration.accepted}; {_default_text(each)})"
+def _help_text(setting: Field) -> str:
+    declaration: Declaration = setting.metadata["setting"]
+    return f"{declaration.help} ({declaration.accepted}; {_default_text(setting)})"
 
 
-def _default_text(each: Field) -> str:
-    if each.default is MISSING:
+def _default_text(setting: Field) -> str:
+    if setting.default is MISSING:
         return "required"
-    if each.default is None or each.default == "":
+    if setting.default is None or setting.default == "":
         return "optional"
-    if isinstance(each.default, tuple):
-        return "default " + ",".join(map(str, each.default))
-    return f"default {each.default}"
+    if isinstance(setting.default, tuple):
+        return "default " + ",".join(map(str, setting.default))
+    return f"default {setting.default}"
 
 
 def load(
@@ -320,38 +325,40 @@
     role : type
         One of `ROLES`.
     flags : mapping of str to str or None
-        Text given for each setting on the command line; ``None`` if not given.
+        Text of each setting on the command line; ``None`` if it was not given.
     environ : mapping of str to str
         The environment variables.
 
     Returns
     -------
     Settings or Rejected
-        An instance of `role`, or every setting that is bad.
+        An instance of `role`, or the list of all bad settings.
     """
     values: dict[str, Any] = {}
     errors: list[BadSetting] = []
-    for each in fields(role):
-        value = _read(each, flags.get(each.name), environ.get(variable(each.name)))
+    for setting in fields(role):
+        value = _read(
+            setting, flags.get(setting.name), environ.get(variable(setting.name))
+        )
         if isinstance(value, BadSetting):
             errors.append(value)
         elif value is not MISSING:
-            values[each.name] = value
+            values[setting.name] = value
     if errors:
         return Rejected(tuple(errors))
     return role(**values)
 
 
-def _read(each: Field, given: str | None, inherited: str | None) -> Any:
-    declaration: Declaration = each.metadata["setting"]
-    source = flag(each.name) if given is not None else variable(each.name)
-    text = given if given is not None else inherited
-    if text is None and each.default is MISSING:
-        sources = f"{flag(each.name)} or {variable(each.name)}"
-        return BadSetting(each.name, sources, None, declaration.accepted)
-    if text is None or (text == "" and each.default == ""):
+def _read(setting: Field, given: str | None, from_environment: str | None) -> Any:
+    declaration: Declaration = setting.metadata["setting"]
+    source = flag(setting.name) if given is not None else variable(setting.name)
+    text = given if given is not None else from_environment
+    if text is None and setting.default is MISSING:
+        sources = f"{flag(setting.name)} or {variable(setting.name)}"
+        return BadSetting(setting.name, sources, None, declaration.accepted)
+    if text is None or (text == "" and setting.default == ""):
         return MISSING
     try:
         return declaration.parse(text)
     except ValueError:
-        return BadSetting(each.name, source, text, declaration.accepted)
+        return BadSetting(setting.name, source, text, declaration.accepted)
--- a/src/wigeonfront/supervisor.py
+++ b/src/wigeonfront/supervisor.py
@@ -1,10 +1,10 @@
-"""Supervisors: a tree of tasks, each a thread that is restarted when it fails.
+"""A tree of supervisors, which run tasks in threads and restart those that fail.
 
-A daemon builds one root supervisor with children for its servers, peers and
-keepers. A task is a function that takes the stop event and returns when it is
-set. A task that raises is logged and started again after a growing pause; a task
-that fails too often, or raises `BrokenInvariant`, stops the whole tree, because
-the process can no longer vouch for its state.
+A process builds one root supervisor with children for its parts, such as the engines
+that it calls. A task is a function that takes a stop event and returns once the event
+is set. When a task raises, the supervisor logs the exception and restarts the task
+after an exponential backoff. A task that fails too often, or raises `BrokenInvariant`,
+stops the whole tree, because the state of the process can no longer be trusted.
 """
 
 import logging
@@ -21,14 +21,15 @@
 FAILURE_WINDOW_SECONDS = 60.0
 INITIAL_PAUSE_SECONDS = 0.1
 MAX_PAUSE_SECONDS = 5.0
-# Threads are daemons: one blocked in a call that it can't leave ends with the process.
+# Longest wait for all threads together. They are daemon threads, so a thread that is
+# blocked in a call ends with the process.
 JOIN_SECONDS = 1.0
 
-Run = Callable[[threading.Event], None]
+TaskFunction = Callable[[threading.Event], None]
 
 
 class BrokenInvariant(Exception):  # noqa: N818
-    """State that must never be; the process stops rather than guess."""
+    """An invariant of the process's state is violated; the process has to stop."""
 
 
 class Supervisor:
@@ -37,10 +38,11 @@
     Parameters
     ----------
     name : str
-        Written in the logs; children's names are prefixed with it.
-    clock : Clock
+        Name in logs and thread names; the names of children start with it.
+    clock : Clock, optional
+        `SystemClock` by default.
     parent : Supervisor, optional
-        Told when this supervisor gives up.
+        Supervisor that also gives up when this one does.
     """
 
     def __init__(
@@ -61,16 +63,16 @@
 
     @property
     def failed(self) -> bool:
-        """Whether a task failed too often or broke an invariant."""
+        """Whether a task of the tree failed too often or broke an invariant."""
         return self._failed.is_set()
 
     @property
     def stopping(self) -> bool:
-        """Whether `stop` was called or the tree has failed."""
+        """Whether the tree was told to stop or has failed."""
         return self._stop.is_set()
 
     def child(self, name: str) -> "Supervisor":
-        """Return a new supervisor below this one."""
+        """Return a new supervisor below this one, which stops and fails with it."""
         child = Supervisor(f"{self._name}.{name}", self._clock, parent=self)
         with self._lock:
             self._children.append(child)
@@ -78,8 +80,8 @@
                 child._stop.set()
         return child
 
-    def start(self, name: str, run: Run) -> None:
-        """Start a task, unless the tree stops; its thread carries the task's name."""
+    def start(self, name: str, run: TaskFunction) -> None:
+        """Start the task `name` in a thread, unless the tree is stopping."""
         stop = threading.Event()
         full_name = f"{self._name}.{name}"
         thread = threading.Thread(
@@ -93,7 +95,7 @@
             thread.start()
 
     def stop_task(self, name: str) -> None:
-        """Tell one task to stop; its thread ends by itself."""
+        """Set the stop event of one task, without waiting for its thread."""
         with self._lock:
             self._threads.pop(name, None)
             stop = self._stops.pop(name, None)
@@ -101,11 +103,11 @@
             stop.set()
 
     def wait(self, timeout: float | None = None) -> bool:
-        """Wait until the tree stops or fails; return whether it did."""
+        """Wait up to `timeout` seconds; return whether the tree stopped or failed."""
         return self._stop.wait(timeout)
 
     def stop(self) -> None:
-        """Stop all tasks of the tree and wait a bounded time for them together."""
+        """Stop all tasks of the tree; wait up to `JOIN_SECONDS` for their threads."""
         threads = self._signal_stop()
         deadline = self._clock.monotonic() + JOIN_SECONDS
         for thread in threads:
@@ -113,20 +115,20 @@
                 thread.join(max(0.0, deadline - self._clock.monotonic()))
 
     def _signal_stop(self) -> list[threading.Thread]:
-        """Tell the children's tasks, then the own ones; return their threads."""
+        """Set the stop events, the children's first; return the tasks' threads."""
         self._stop.set()
         with self._lock:
             children = list(self._children)
             threads = list(self._threads.values())
             stops = list(self._stops.values())
-        below = [
+        child_threads = [
             thread for child in reversed(children) for thread in child._signal_stop()
         ]
         for stop in stops:
             stop.set()
-        return below + threads
+        return child_threads + threads
 
-    def _run_task(self, name: str, run: Run, stop: threading.Event) -> None:
+    def _run_task(self, name: str, run: TaskFunction, stop: threading.Event) -> None:
         failures: deque[float] = deque(maxlen=MAX_FAILURES)
         pause = INITIAL_PAUSE_SECONDS
         while not stop.is_set():
