--- a/src/wigeonfront/cli.py
+++ b/src/wigeonfront/cli.py
@@ -173,7 +173,7 @@
     _add_operation(
         commands,
         "status",
-        "show processes, targets, versions and Lots",
+        "show members, targets, versions and Lots",
         "status:status",
     )
     _add_operation(
--- a/src/wigeonfront/commands/catalogue.py
+++ b/src/wigeonfront/commands/catalogue.py
@@ -47,7 +47,7 @@
 
 
 def diff(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """Print the changes that ``apply`` would make; return exit code 1 if there are any."""
+    """Print the changes that ``apply`` would make; fail if there are any."""
     wanted = _read_wanted(arguments.file)
     if wanted is None:
         return exit_codes.USAGE
--- a/src/wigeonfront/commands/differences.py
+++ b/src/wigeonfront/commands/differences.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldChange:
-    """A field that differs; a side that lacks the field has the value ``(none)``."""
+    """A field that differs; `before` or `after` is ``(none)`` where it is missing."""
 
     field: str
     before: Any
--- a/src/wigeonfront/commands/status.py
+++ b/src/wigeonfront/commands/status.py
@@ -10,7 +10,7 @@
 
 
 def status(settings: OperatorSettings, arguments: argparse.Namespace) -> int:
-    """Print processes, targets, versions and Lots."""
+    """Print members, targets, versions and Lots."""
     answer = call(settings, "GET", STATUS_PATH)
     if not isinstance(answer, Response) or not answer.successful:
         return report_failure(answer)
--- a/src/wigeonfront/observability/metrics.py
+++ b/src/wigeonfront/observability/metrics.py
@@ -57,7 +57,8 @@
     """A named metric with one series for each combination of label values.
 
     At most `MAX_SERIES` series are kept, so that a caller that sends ever new names
-    can't exhaust the memory. Further series are counted as `OVERFLOW_LABEL`.
+    can't exhaust the memory. Further series are counted together under
+    `OVERFLOW_LABEL`.
     """
 
     kind = ""
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""The tests that KNOWN-RED.txt lists: they fail for a known fault."""
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault."""
 
 from pathlib import Path
 
@@ -6,16 +6,16 @@
 
 
 def entries(text):
-    """Return the lines of a list that name a test."""
+    """Return the lines of `text` that name a test."""
     lines = (line.strip() for line in text.splitlines())
     return [line for line in lines if line and not line.startswith("#")]
 
 
 def node_id(entry):
-    """Return the node id of the test that an entry names."""
+    """Return the pytest node id of the test that an entry names."""
     return entry.partition(", ")[0]
 
 
 def read_entries():
-    """Return the entries of the list; none where there is no list."""
+    """Return the entries of KNOWN-RED.txt; none if there is no such file."""
     return entries(LIST.read_text()) if LIST.exists() else []
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The single file: built once, it does the main job."""
+"""The single file, built once for these tests, runs the program."""
 
 import json
 import os
@@ -21,9 +21,11 @@
 
 @pytest.fixture
 def environment(tmp_path):
-    # Neither the working copy nor an earlier unpacking is to be found.
-    kept = {name: text for name, text in os.environ.items() if name != "PYTHONPATH"}
-    return kept | {"SHIV_ROOT": str(tmp_path / "unpacked")}
+    # The program must find neither the working copy nor files unpacked earlier.
+    inherited = {
+        name: text for name, text in os.environ.items() if name != "PYTHONPATH"
+    }
+    return inherited | {"SHIV_ROOT": str(tmp_path / "unpacked")}
 
 
 def run(command, environment):
@@ -32,35 +34,35 @@
     )
 
 
-def test_bad_setting_from_the_single_file(binary, environment):
-    ended = run([binary, "side", "--cores", "0"], environment)
-    assert (ended.returncode, ended.stdout) == (2, "")
-    assert "setting cores has the bad value '0' (from --cores)" in ended.stderr
-    assert "Traceback" not in ended.stderr
+def test_the_single_file_reports_a_bad_setting(binary, environment):
+    completed = run([binary, "side", "--cores", "0"], environment)
+    assert (completed.returncode, completed.stdout) == (2, "")
+    assert "setting cores has the bad value '0' (from --cores)" in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
-def test_single_file_uses_only_its_own_packages(binary, environment, tmp_path):
-    """A `PYTHONPATH` with another package of the same name changes nothing."""
+def test_the_single_file_uses_only_its_own_packages(binary, environment, tmp_path):
+    """A `PYTHONPATH` with another package of the same name has no effect."""
     other = tmp_path / "other" / "wigeonfront"
     other.mkdir(parents=True)
     (other / "__init__.py").write_text("raise SystemExit('the wrong package')")
     environment |= {"PYTHONPATH": str(other.parent)}
-    ended = run([binary, "--version"], environment)
-    assert (ended.returncode, ended.stderr) == (0, "")
+    completed = run([binary, "--version"], environment)
+    assert (completed.returncode, completed.stderr) == (0, "")
 
 
-def test_main_job_from_the_single_file(binary, environment):
+def test_the_example_deployments_run_from_the_single_file(binary, environment):
     environment |= {"PYTHONPATH": os.pathsep.join([str(ROOT / "src"), "examples"])}
     flags = ["--deployment", "both", "--seconds", "3", "--binary", binary, "--json"]
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "quickstart.run", *map(str, flags)],
         env=environment,
         cwd=ROOT,
         capture_output=True,
         text=True,
     )
-    assert ended.returncode == 0, ended.stdout + ended.stderr
-    reports = json.loads(ended.stdout)
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    reports = json.loads(completed.stdout)
     assert [report["deployment"] for report in reports] == ["hraunbok", "association"]
     assert all(report["ended"] == [] for report in reports)
     unpacked = list(Path(environment["SHIV_ROOT"]).glob("wigeonfront_*"))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' commands, on real entries over stand-ins of the platform."""
+"""The operators' commands, on real entries with stand-ins for the platform."""
 
 import json
 import logging
@@ -32,38 +32,38 @@
 }
 
 
-class Run:
-    """Runs commands, and tells what they printed."""
+class CommandRunner:
+    """Runs commands and keeps what they print."""
 
-    def __init__(self, entries, read):
+    def __init__(self, entries, capture):
         self.entries = entries
-        self._read = read
+        self._capture = capture
         self.output = self.errors = ""
 
-    def __call__(self, *words, entries=None):
+    def __call__(self, *arguments, entries=None):
         settings = []
         if entries or self.entries:
             settings = ["--entry", ",".join(entries or self.entries)]
-        code = cli.main([*map(str, words), *settings])
-        self.output, self.errors = self._read.readouterr()
+        code = cli.main([*map(str, arguments), *settings])
+        self.output, self.errors = self._capture.readouterr()
         return code
 
-    def json(self, *words):
-        assert self(*words, "--json") == exit_codes.OK, self.errors
+    def json(self, *arguments):
+        assert self(*arguments, "--json") == exit_codes.OK, self.errors
         return json.loads(self.output)
 
 
 @pytest.fixture(autouse=True)
-def no_settings(monkeypatch):
+def no_settings_in_the_environment(monkeypatch):
     for name in [name for name in os.environ if name.startswith("WIGEONFRONT_")]:
         monkeypatch.delenv(name)
 
 
 @pytest.fixture
 def deployed():
-    made = Deployment()
-    yield made
-    made.close()
+    started = Deployment()
+    yield started
+    started.close()
 
 
 @pytest.fixture
@@ -73,14 +73,14 @@
     for name in ("n1", "n2"):
         addresses.append(f"127.0.0.1:{free_port('127.0.0.1')}")
         deployed.add_entry(name, api_address=addresses[-1], drain=drained.set)
-    made = Run(addresses, capsys)
-    made.drained = drained
-    return made
+    runner = CommandRunner(addresses, capsys)
+    runner.drained = drained
+    return runner
 
 
 @pytest.fixture
 def offline(capsys):
-    return Run([], capsys)
+    return CommandRunner([], capsys)
 
 
 @pytest.fixture
@@ -100,7 +100,7 @@
 # --- catalogue ---------------------------------------------------------------
 
 
-def test_a_catalogue_is_read_changed_and_in_force(run, file):
+def test_a_catalogue_is_read_and_changed_and_comes_into_force(run, file):
     wait_for(lambda: len(run.json("status")["members"]) == 2)
     document = run.json("catalogue", "get")
     assert document["version"] == 1
@@ -117,7 +117,7 @@
     assert "version" in run.output
 
 
-def test_a_change_over_somebody_elses_is_a_conflict_and_shows_theirs(run, file):
+def test_a_concurrent_change_is_a_conflict_and_is_shown(run, file):
     revision = run.json("catalogue", "get")["revision"]
     assert run("catalogue", "apply", file(catalogue(3))) == exit_codes.OK
     mine = file(catalogue(4))
@@ -127,7 +127,7 @@
     assert run.json("catalogue", "get")["version"] == 3
 
 
-def test_a_change_that_an_entry_does_not_take_is_not_in_force(deployed, run, file):
+def test_a_change_that_an_entry_does_not_use_is_not_in_force(deployed, run, file):
     silent = {"incarnation": "n3.1", "address": free_address()}
     deployed.rows.put(f"{ENTRY_PREFIX}n3", json.dumps(silent).encode())
     wait_for(lambda: len(run.json("status")["members"]) == 3)
@@ -138,16 +138,16 @@
 
 
 @pytest.mark.parametrize(
-    ("document", "code", "words"),
+    ("document", "code", "message"),
     [
         ("{", exit_codes.USAGE, "not JSON"),
         ("[]", exit_codes.USAGE, "an object is expected"),
         ({"version": "x"}, exit_codes.FAILED, "bad_document"),
     ],
 )
-def test_a_bad_catalogue_is_not_applied(run, file, document, code, words):
+def test_a_bad_catalogue_is_not_applied(run, file, document, code, message):
     assert run("catalogue", "apply", file(document)) == code
-    assert words in run.errors
+    assert message in run.errors
     assert run.json("catalogue", "get")["version"] == 1
 
 
@@ -158,12 +158,14 @@
     return json.loads(deployment.configuration(version, accounts=accounts))
 
 
-def test_operators_see_keys_by_their_fingerprints_and_keep_them(deployed, run, file):
+def test_operators_see_fingerprints_of_api_keys_and_can_write_them_back(
+    deployed, run, file
+):
     path = file(keyed_catalogue(2))
     assert run("catalogue", "apply", path) == exit_codes.OK
     shown = run.json("catalogue", "get")["document"]
-    mark = PlatformCatalogue().redacted(file(keyed_catalogue(2)).read_bytes())
-    assert shown == json.loads(mark)
+    redacted = PlatformCatalogue().redacted(file(keyed_catalogue(2)).read_bytes())
+    assert shown == json.loads(redacted)
     assert run("catalogue", "diff", path) == exit_codes.OK
     shown["version"] = 3
     shown["tenants"][0]["apiKeys"].append("key-s2")
@@ -179,7 +181,7 @@
 
 
 @pytest.mark.parametrize(
-    ("accounts", "words"),
+    ("accounts", "message"),
     [
         ({"studio": ["key-s1"], "other": ["key-s1"]}, "share the key"),
         ({"studio": [""]}, "empty, too long or malformed"),
@@ -187,10 +189,10 @@
         ({"studio": ["fingerprint:00000000"]}, "no key has the fingerprint:00000000"),
     ],
 )
-def test_accounts_that_are_wrong_are_not_applied(run, file, accounts, words):
+def test_a_catalogue_with_bad_accounts_is_not_applied(run, file, accounts, message):
     code = run("catalogue", "apply", file(keyed_catalogue(2, accounts)))
     assert code == exit_codes.FAILED
-    assert words in run.errors
+    assert message in run.errors
     assert "key-s1" not in run.errors
     assert run.json("catalogue", "get")["version"] == 1
 
@@ -198,13 +200,13 @@
 # --- status, drain, explain --------------------------------------------------
 
 
-def test_the_status_is_a_table_for_people(run):
+def test_the_status_is_printed_as_tables(run):
     assert run("status") == exit_codes.OK
     assert "configuration_version: 1" in run.output
     assert "i-e0" in run.output
 
 
-def test_drain_begins_a_planned_stop(run):
+def test_drain_starts_a_planned_stop(run):
     assert run.json("drain") == {"draining": "n1"}
     assert run.drained.wait(2.0)
 
@@ -227,7 +229,7 @@
     assert run("quarantine", "release", "f1") == exit_codes.FAILED
 
 
-def test_explain_tells_what_became_of_a_sample(run, file, caplog):
+def test_explain_shows_the_events_of_a_sample(run, file, caplog):
     caplog.set_level(logging.INFO)
     assert run("lot", "submit", file(LOT)) == exit_codes.OK
     events = run.json("explain", "t!l1!s0")
@@ -247,13 +249,13 @@
         "a.log",
     )
     assert offline("explain", "r1", "--json", "--log", log) == exit_codes.OK
-    assert [one["process"] for one in json.loads(offline.output)] == ["b", "a"]
+    assert [event["process"] for event in json.loads(offline.output)] == ["b", "a"]
     code = offline("explain", "r1", "--log", log.parent / "none")
     assert code == exit_codes.USAGE
     assert "No such file" in offline.errors
 
 
-# --- lots --------------------------------------------------------------------
+# --- Lots --------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("source", ["file", "environment"])
@@ -261,41 +263,41 @@
     assert run("catalogue", "apply", file(keyed_catalogue(2))) == exit_codes.OK
     assert run("lot", "submit", file(LOT)) == exit_codes.FAILED
     assert "401" in run.errors or "no_account" in run.errors
-    words = []
+    key_arguments = []
     if source == "environment":
         monkeypatch.setenv("WIGEONFRONT_API_KEY", "key-s1")
     else:
         path = tmp_path / "key"
         path.write_text("key-s1\n")
-        words = ["--api-key-file", path]
-    assert run("lot", "submit", file(LOT), *words) == exit_codes.OK
-    missing = ["--api-key-file", tmp_path / "none"]
-    assert run("lot", "submit", file(LOT), *missing) == exit_codes.USAGE
+        key_arguments = ["--api-key-file", path]
+    assert run("lot", "submit", file(LOT), *key_arguments) == exit_codes.OK
+    missing_file = ["--api-key-file", tmp_path / "none"]
+    assert run("lot", "submit", file(LOT), *missing_file) == exit_codes.USAGE
 
 
 def test_a_lot_is_submitted_written_and_acknowledged(run, file, tmp_path):
     output = tmp_path / "answer.json"
     assert run("lot", "submit", file(LOT), "--output", output) == exit_codes.OK
     samples = json.loads(output.read_text())["samples"]
-    assert {one["kind"] for one in samples} == {"completed"}
+    assert {sample["kind"] for sample in samples} == {"completed"}
     assert "4 completed" in run.errors
     assert run("lot", "submit", file(LOT)) == exit_codes.FAILED
     assert "LotAlreadyDelivered" in run.errors
 
 
-def test_a_lot_that_is_refused_is_told(run, file):
+def test_the_refusal_of_a_lot_is_reported(run, file):
     document = LOT | {"route": "nowhere"}
     assert run("lot", "submit", file(document), "--json") == exit_codes.FAILED
     assert json.loads(run.output)["end"] == "CallRejected"
 
 
 @pytest.mark.parametrize(
-    ("document", "words"),
+    ("document", "message"),
     [({"lot": 1}, "Expected"), ("{", "truncated"), ({}, "missing")],
 )
-def test_a_file_that_is_no_lot_is_bad_usage(run, file, document, words):
+def test_a_file_that_contains_no_lot_is_bad_usage(run, file, document, message):
     assert run("lot", "submit", file(document)) == exit_codes.USAGE
-    assert words in run.errors
+    assert message in run.errors
 
 
 # --- settings ----------------------------------------------------------------
@@ -317,32 +319,32 @@
     assert "WIGEONFRONT_SERVCIE" in offline.errors
 
 
-def test_a_bad_setting_is_named_with_what_would_be_accepted(offline):
+def test_a_bad_setting_is_reported(offline):
     assert offline("entry", "--stop-seconds", "0", "--cores", "x") == exit_codes.USAGE
-    bad = "setting stop_seconds has the bad value '0' (from --stop-seconds)"
-    assert bad in offline.errors
+    message = "setting stop_seconds has the bad value '0' (from --stop-seconds)"
+    assert message in offline.errors
     assert "setting cores has the bad value 'x'" in offline.errors
 
 
-@pytest.mark.parametrize("words", [(), ("nothing",), ("catalogue",), ("status", "x")])
-def test_bad_usage(offline, words):
-    assert offline(*words) == exit_codes.USAGE
+@pytest.mark.parametrize(
+    "arguments", [(), ("nothing",), ("catalogue",), ("status", "x")]
+)
+def test_bad_usage_has_its_exit_code(offline, arguments):
+    assert offline(*arguments) == exit_codes.USAGE
 
 
 # --- entries that can't be reached -------------------------------------------
 
 
 @pytest.mark.parametrize(
-    "words", [("status",), ("drain",), ("explain", "r"), ("catalogue", "get")]
+    "arguments", [("status",), ("drain",), ("explain", "r"), ("catalogue", "get")]
 )
-def test_without_an_entry_the_command_says_so(offline, words):
-    assert offline(*words, entries=[free_address()]) == exit_codes.UNREACHABLE
+def test_a_command_that_reaches_no_entry_says_so(offline, arguments):
+    assert offline(*arguments, entries=[free_address()]) == exit_codes.UNREACHABLE
     assert "no entry could be reached" in offline.errors
 
 
-def test_a_read_goes_to_the_next_entry_and_a_change_that_may_be_done_does_not(
-    run, offline
-):
+def test_after_a_lost_answer_only_a_read_is_sent_to_the_next_entry(run, offline):
     silent = Served(free_address(), lambda call: call.abort(), threads=2)
     silent.start()
     entries = [silent.address, run.entries[0]]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -18,12 +18,14 @@
 
 
 @pytest.mark.parametrize(
-    ("single", "service", "wants"),
+    ("single_version", "service", "required"),
     [(True, "s", True), (False, "s", False), (True, "other", False)],
 )
-def test_services_whose_samples_come_from_one_version(single, service, wants):
-    routes = (route("plain"), replace(route("lots"), single_version=single))
-    assert Configuration(1, routes).requires_single_version(service) == wants
+def test_a_route_may_require_samples_from_a_single_version(
+    single_version, service, required
+):
+    routes = (route("plain"), replace(route("lots"), single_version=single_version))
+    assert Configuration(1, routes).requires_single_version(service) == required
 
 
 ROUTES = Configuration(
@@ -48,7 +50,7 @@
         ("c.example", "/p/x", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_selects(host, path, expected):
+def test_the_route_with_the_longest_matching_prefix_is_found(host, path, expected):
     found = ROUTES.find_route(host, path)
     assert (found.name if found else None) == expected
 
@@ -57,6 +59,6 @@
     ("draw", "service"),
     [(0.0, "a"), (0.89, "a"), (0.9, "b"), (0.999, "b")],
 )
-def test_a_split_route_shares_by_weight(draw, service):
+def test_a_route_chooses_its_services_by_weight(draw, service):
     split = route("split", shares=(("a", 90.0), ("b", 10.0)))
     assert split.choose_service(draw) == service
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Just the tests that KNOWN-RED.txt lists are passed over."""
+"""Only the tests that KNOWN-RED.txt lists are deselected."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 """
 
 
-def test_an_entry_names_a_test():
+def test_an_entry_begins_with_the_id_of_its_test():
     names = [node_id(entry) for entry in entries(LISTED)]
     assert names == ["tests/test_a.py::test_one[512]", "tests/test_b.py::test_two"]
 
@@ -37,13 +37,13 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "over"),
+    ("asked", "deselected"),
     [
         (False, ["tests/test_a.py::test_one[512]", "tests/test_b.py::test_two"]),
         (True, []),
     ],
 )
-def test_no_other_test_is_passed_over(monkeypatch, tmp_path, asked, over):
+def test_only_listed_tests_are_deselected(monkeypatch, tmp_path, asked, deselected):
     path = tmp_path / LIST.name
     path.write_text(LISTED)
     monkeypatch.setattr("known_red.LIST", path)
@@ -52,5 +52,7 @@
     items = [Item(name) for name in names]
     config = Config(asked)
     pytest_collection_modifyitems(config, items)
-    assert config.deselected == over
-    assert [item.nodeid for item in items] == [one for one in names if one not in over]
+    assert config.deselected == deselected
+    assert [item.nodeid for item in items] == [
+        name for name in names if name not in deselected
+    ]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: key=value lines, and that `explain` reads back what was written."""
+"""Logs: lines of key=value pairs, which `explain` can parse."""
 
 import io
 import logging
@@ -26,19 +26,19 @@
         ("ljóð", r'"lj\u00f3\u00f0"'),
     ],
 )
-def test_value_is_quoted_when_it_must_be(value, text):
+def test_a_value_with_special_characters_is_quoted(value, text):
     assert logs.format_value(value) == text
 
 
 @settings(derandomize=True, max_examples=200)
 @given(st.dictionaries(st.from_regex(r"[a-z_]{1,9}", fullmatch=True), st.text()))
-def test_line_is_read_back(fields):
+def test_a_parsed_line_equals_the_logged_fields(fields):
     line = logs.format_pairs(fields)
     assert "\n" not in line
     assert parse_line(line) == fields
 
 
-def test_configured_process_writes_one_line_for_each_event(monkeypatch):
+def test_a_configured_process_writes_one_line_for_each_event(monkeypatch):
     output = io.StringIO()
     monkeypatch.setattr("sys.stdout", output)
     root = logging.getLogger()
--- a/tests/test_logs_bounded.py
+++ b/tests/test_logs_bounded.py
@@ -9,14 +9,14 @@
 
 
 class BlockedStream:
-    """An output whose reader has stopped reading, until told to go on."""
+    """An output whose reader doesn't read until `unblocked` is set."""
 
     def __init__(self):
-        self.open = threading.Event()
+        self.unblocked = threading.Event()
         self.lines = []
 
     def write(self, text):
-        self.open.wait(5.0)
+        self.unblocked.wait(5.0)
         self.lines += text.splitlines()
 
     def flush(self):
@@ -24,22 +24,22 @@
 
 
 @pytest.mark.parametrize("lines", [10, 2 * logs.QUEUE_LINES + 500])
-def test_a_blocked_reader_delays_nobody_and_drops_are_counted(lines):
+def test_a_blocked_output_does_not_delay_logging_and_drops_are_counted(lines):
     stream = BlockedStream()
     handler = logs.BoundedHandler(stream)
     record = logging.LogRecord("x", logging.INFO, "", 0, "event=%d", (1,), None)
-    started = time.monotonic()
+    start = time.monotonic()
     for _ in range(lines):
         handler.emit(record)
-    assert time.monotonic() - started < 1.0
-    stream.open.set()
+    assert time.monotonic() - start < 1.0
+    stream.unblocked.set()
     handler.drain(3.0)
     handler.emit(record)
     handler.drain(3.0)
     dropped = [line for line in stream.lines if "log_lines_dropped" in line]
     written = len(stream.lines) - len(dropped)
     assert bool(dropped) == (lines > 2 * logs.QUEUE_LINES)
-    # The writer may take lines, and their count, while others still come.
+    # The writer may write lines, and the count of dropped ones, during the loop.
     assert written + sum(map(count_of, dropped)) == lines + 1
 
 
@@ -48,7 +48,7 @@
 
 
 class SlowStream(BlockedStream):
-    """An output that takes each batch with a pause, so that lines are dropped."""
+    """An output that writes each batch after a delay, so that lines are dropped."""
 
     def write(self, text):
         time.sleep(0.002)
@@ -56,25 +56,27 @@
 
 
 @pytest.fixture
-def quick_switches():
-    """Threads take turns so often that each gap between two steps is met."""
-    usual = sys.getswitchinterval()
+def frequent_thread_switches():
+    """Switch threads so often that a switch occurs between any two steps."""
+    interval_before = sys.getswitchinterval()
     sys.setswitchinterval(1e-6)
     yield
-    sys.setswitchinterval(usual)
+    sys.setswitchinterval(interval_before)
 
 
-@pytest.mark.usefixtures("quick_switches")
+@pytest.mark.usefixtures("frequent_thread_switches")
 @pytest.mark.parametrize("threads", [2, 8])
-def test_every_line_is_written_or_counted_while_many_threads_log(threads, monkeypatch):
+def test_each_line_of_many_threads_is_written_or_counted_as_dropped(
+    threads, monkeypatch
+):
     monkeypatch.setattr(logs, "QUEUE_LINES", 50)
     stream = SlowStream()
     handler = logs.BoundedHandler(stream)
     record = logging.LogRecord("x", logging.INFO, "", 0, "event=%d", (1,), None)
-    each = 4_000
+    lines_per_thread = 4_000
 
     def emit():
-        for _ in range(each):
+        for _ in range(lines_per_thread):
             handler.emit(record)
 
     emitters = [threading.Thread(target=emit) for _ in range(threads)]
@@ -83,17 +85,17 @@
     for emitter in emitters:
         emitter.join()
     handler.drain(3.0)
-    # One more line brings out a count that came after the last batch.
+    # Lines that were dropped after the last batch are reported with the next line.
     handler.emit(record)
     handler.drain(3.0)
     dropped = [line for line in stream.lines if "log_lines_dropped" in line]
     written = len(stream.lines) - len(dropped)
     assert dropped
-    assert written + sum(map(count_of, dropped)) == threads * each + 1
+    assert written + sum(map(count_of, dropped)) == threads * lines_per_thread + 1
 
 
-@pytest.mark.usefixtures("quick_switches")
-def test_a_drain_ends_only_once_the_last_line_is_written():
+@pytest.mark.usefixtures("frequent_thread_switches")
+def test_drain_returns_only_after_the_last_line_is_written():
     for _ in range(100):
         stream = SlowStream()
         handler = logs.BoundedHandler(stream)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: readings, the text format, and limits."""
+"""Metrics: values, the text format, and the limit on series."""
 
 import random
 import threading
@@ -14,7 +14,7 @@
 )
 
 
-def test_counter_and_gauge_text():
+def test_counters_and_gauges_are_rendered_as_text():
     registry = Registry()
     counter = registry.counter("replies_total", "Replies\nby status.", ("status",))
     counter.increment(status=200)
@@ -36,13 +36,13 @@
     ]
 
 
-def test_large_counter_keeps_its_digits():
+def test_a_large_counter_is_rendered_with_all_digits():
     registry = Registry()
     registry.counter("bytes_total", "Bytes.").increment(12_345_678_901)
     assert "bytes_total 12345678901" in registry.render_text().splitlines()
 
 
-def test_histogram_against_the_values_themselves():
+def test_the_buckets_of_a_histogram_count_the_observed_values():
     generator = random.Random(7)
     values = sorted(generator.expovariate(20) for _ in range(5000))
     registry = Registry()
@@ -50,14 +50,14 @@
     for value in values:
         histogram.observe(value, service="judge-llm")
     (reading,) = histogram.collect().values()
-    for units, counted in zip(BOUND_UNITS, reading.below, strict=True):
-        assert counted == sum(int(value / UNIT_SECONDS) < units for value in values)
+    for units, count in zip(BOUND_UNITS, reading.below, strict=True):
+        assert count == sum(int(value / UNIT_SECONDS) < units for value in values)
     assert reading.total == pytest.approx(sum(values))
     assert reading.count == len(values)
 
 
 @pytest.mark.parametrize("seconds", [0.0, -1.0, 1e-9, 3600.0, 1e9])
-def test_histogram_takes_values_beyond_its_range(seconds):
+def test_a_histogram_counts_values_outside_its_range(seconds):
     registry = Registry()
     registry.histogram("wait_seconds", "Wait.").observe(seconds)
     text = registry.render_text().splitlines()
@@ -65,7 +65,7 @@
     assert "wait_seconds_count 1" in text
 
 
-def test_series_are_bounded():
+def test_the_number_of_series_is_limited():
     registry = Registry()
     counter = registry.counter("requests_total", "Requests.", ("caller",))
     for number in range(2 * MAX_SERIES):
@@ -76,17 +76,17 @@
     assert readings[(OVERFLOW_LABEL,)] == MAX_SERIES + 1
 
 
-def test_threads_lose_no_count():
+def test_concurrent_increments_are_all_counted():
     registry = Registry()
     counter = registry.counter("requests_total", "Requests.")
     histogram = registry.histogram("wait_seconds", "Wait.")
 
-    def work():
+    def record():
         for _ in range(500):
             counter.increment()
             histogram.observe(0.001)
 
-    threads = [threading.Thread(target=work) for _ in range(8)]
+    threads = [threading.Thread(target=record) for _ in range(8)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -95,7 +95,7 @@
     assert histogram.collect()[()].count == 4000
 
 
-def test_a_name_is_declared_once():
+def test_a_metric_name_can_be_declared_only_once():
     registry = Registry()
     registry.counter("requests_total", "Requests.")
     with pytest.raises(ValueError, match="declared twice"):
--- a/tests/test_openssl.py
+++ b/tests/test_openssl.py
@@ -1,4 +1,4 @@
-"""A process of the system maps no OpenSSL, which would take 5 MiB."""
+"""The processes don't map OpenSSL, which would take 5 MiB of memory."""
 
 import os
 import subprocess
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "side", "storage"])
-def test_openssl_is_not_mapped(role, tmp_path):
+def test_a_running_process_does_not_map_openssl(role, tmp_path):
     host = loopback_host()
     api, ready, peer, target = free_ports(host, 4)
     flags = ["--name", "n1", "--host", host, "--store", f"{host}:1"]
@@ -49,7 +49,7 @@
     ("before", "expected"),
     [("", "True True None"), ("import ssl; ", "False True <module 'ssl'")],
 )
-def test_modules_already_imported_stay(before, expected):
+def test_imports_are_blocked_unless_openssl_is_already_imported(before, expected):
     code = f"{before}import sys; from wigeonfront import openssl{REPORT}"
     output = subprocess.check_output([sys.executable, "-c", code], text=True)
     assert output.startswith(expected)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: sources, checks and the line for a bad value."""
+"""Settings: their sources, checks, and the error message for a bad value."""
 
 from dataclasses import fields
 
@@ -48,12 +48,14 @@
         ({"drain_seconds": "0.5"}, {"WIGEONFRONT_DRAIN_SECONDS": "bad"}, 0.5),
     ],
 )
-def test_flag_before_environment_before_default(flags, environ, expected):
+def test_a_flag_overrides_the_environment_and_that_the_default(
+    flags, environ, expected
+):
     given = load(EntrySettings, ENTRY | flags, environ)
     assert node_settings(given, None).bounds.drain_seconds == expected
 
 
-def test_what_a_platform_lays_down_stands_between_the_two():
+def test_a_platform_file_ranks_between_environment_and_default():
     laid_down = NodeSettings("n", "10.0.0.1", "z1", "10.0.0.9:1", cores=0.4)
     given = load(EntrySettings, {"name": "m"}, {"WIGEONFRONT_LEASE_SECONDS": "7"})
     found = node_settings(given, laid_down)
@@ -73,7 +75,7 @@
         ("log_level", "debug", "log_level", "debug"),
     ],
 )
-def test_accepted_values(name, text, field, value):
+def test_an_accepted_value_reaches_the_node_settings(name, text, field, value):
     settings = node_settings(load(EntrySettings, ENTRY | {name: text}, {}), None)
     found = getattr(settings, field)
     assert found[: len(value)] == value if isinstance(value, tuple) else found == value
@@ -103,31 +105,31 @@
         ("cores", "0"),
     ],
 )
-def test_bad_value_is_named_with_what_is_accepted(name, text):
+def test_a_bad_value_is_reported_with_the_accepted_values(name, text):
     environ = {variable(name): text}
     given = {key: value for key, value in SIDE.items() if key != name}
     rejected = load(SideSettings, given, environ)
     assert isinstance(rejected, Rejected)
     (error,) = rejected.errors
     assert (error.name, error.value, error.source) == (name, text, variable(name))
-    line = str(error)
-    assert name in line and repr(text) in line and error.accepted in line
-    assert "\n" not in line
+    message = str(error)
+    assert name in message and repr(text) in message and error.accepted in message
+    assert "\n" not in message
 
 
 @pytest.mark.parametrize(
     ("role", "required"),
     [(EntrySettings, ENTRY), (SideSettings, SIDE), (StorageSettings, STORAGE)],
 )
-def test_every_missing_setting_is_named(role, required):
+def test_every_missing_setting_is_reported(role, required):
     rejected = node_settings(load(role, {}, {}), None)
     assert {error.name for error in rejected.errors} == set(required)
     assert all("is missing" in str(error) for error in rejected.errors)
-    whole = node_settings(load(role, required, {}), None)
-    assert whole.name == required["name"]
+    complete = node_settings(load(role, required, {}), None)
+    assert complete.name == required["name"]
 
 
-def test_a_storage_process_with_a_disk_needs_an_address():
+def test_a_storage_process_with_a_disk_needs_a_peer_address():
     given = STORAGE | {"data_folder": "/data"}
     assert isinstance(node_settings(load(StorageSettings, given, {}), None), Rejected)
     given["peer_address"] = "127.0.0.1:7703"
@@ -136,7 +138,7 @@
 
 
 @pytest.mark.parametrize("front", ["front_address", "api_address"])
-def test_an_entry_needs_one_of_its_fronts(front):
+def test_an_entry_needs_a_front_address_or_an_api_address(front):
     given = {name: text for name, text in ENTRY.items() if name != "api_address"}
     assert isinstance(node_settings(load(EntrySettings, given, {}), None), Rejected)
     given[front] = "127.0.0.1:7703"
@@ -144,18 +146,18 @@
     assert getattr(found, front) == "127.0.0.1:7703"
 
 
-def test_operator_tries_several_entries():
+def test_an_operator_may_name_several_entries():
     settings = load(OperatorSettings, {"entry": "10.0.0.1:1, 10.0.0.2:2"}, {})
     assert settings.entry == (Address("10.0.0.1", 1), Address("10.0.0.2", 2))
 
 
 @pytest.mark.parametrize("role", ROLES)
-def test_every_default_is_accepted_by_its_own_parser(role):
-    for each in fields(role):
-        parse = each.metadata["setting"].parse
-        if isinstance(each.default, str | int | float) and each.default != "":
-            assert parse(str(each.default)) == each.default
-        assert flag(each.name).startswith("--")
+def test_every_default_is_accepted_by_the_parser_of_its_setting(role):
+    for setting in fields(role):
+        parse = setting.metadata["setting"].parse
+        if isinstance(setting.default, str | int | float) and setting.default != "":
+            assert parse(str(setting.default)) == setting.default
+        assert flag(setting.name).startswith("--")
 
 
 def test_unknown_variables_are_found():
