--- a/src/wigeonfront/configuration.py
+++ b/src/wigeonfront/configuration.py
@@ -142,11 +142,11 @@
     Attributes
     ----------
     header_bytes, body_bytes : int
-        Largest header section and largest body of a request.
+        Largest header section and largest body of a request, in bytes.
     header_seconds : float
-        Time within which the header section must arrive.
+        Seconds within which the header section must arrive.
     idle_seconds : float
-        Time without data after which a connection is closed.
+        Seconds without data after which a connection is closed.
     """
 
     header_bytes: int = 16_384
--- a/src/wigeonfront/settings.py
+++ b/src/wigeonfront/settings.py
@@ -202,7 +202,9 @@
         None,
     )
     revoke_seconds: float | None = _optional_decimal(
-        0.5, 3600, "seconds of age beyond which --strict-revoke refuses calls"
+        0.5,
+        3600,
+        "age of the configuration, in seconds, beyond which --strict-revoke holds",
     )
     duty_address: Address | None = _optional_address(  # noqa: RUF009
         "address of the platform's interface for duties"
@@ -282,7 +284,7 @@
 
 
 def unknown_variables(environ: Mapping[str, str]) -> tuple[str, ...]:
-    """Return the variables with our prefix that belong to no setting of any role."""
+    """Return the variables with the common prefix that belong to no setting."""
     known = {variable(setting.name) for role in ROLES for setting in fields(role)}
     known.add(PLATFORM_FILE_VARIABLE)
     with_prefix = (name for name in environ if name.startswith(ENVIRONMENT_PREFIX))
--- a/tests/test_openssl.py
+++ b/tests/test_openssl.py
@@ -10,7 +10,9 @@
 from platform_standins.ports import free_ports
 from rows_fakes import loopback_host, wait_for
 
-REPORT = "; print(openssl.leave_out(), 'ssl' in sys.modules, sys.modules.get('ssl'))"
+REPORT = (
+    "; print(openssl.block_imports(), 'ssl' in sys.modules, sys.modules.get('ssl'))"
+)
 ROOT = Path(__file__).resolve().parent.parent
 
 
