--- a/src/wigeonfront/commands/status.py
+++ b/src/wigeonfront/commands/status.py
@@ -1,4 +1,4 @@
-"""``wigeonfront status``: the deployment as an entry knows it."""
+"""``wigeonfront status``: print the state of the deployment as an entry sees it."""
 
 import argparse
 
