--- a/benchmarks/soak/caller.py
+++ b/benchmarks/soak/caller.py
@@ -6,7 +6,7 @@
 
 from benchmarks.soak.cluster import Cluster
 from platform_standins.deployment import HOST, PLAIN_PREFIX
-from wigeonfront.http.client import Answer, Lost, NotSent, Pool
+from wigeonfront.http.client import Answer, NotSent, Pool, Unanswered
 
 CALL_SECONDS = 3.0
 PAUSE_SECONDS = 0.15
@@ -113,7 +113,7 @@
         answer = self._call(body, front)
         return answer.status if isinstance(answer, Answer) else 0
 
-    def _call(self, body: bytes, front: str) -> Answer | NotSent | Lost:
+    def _call(self, body: bytes, front: str) -> Answer | NotSent | Unanswered:
         """Send a request under a new id."""
         self._sent += 1
         headers = {"Host": HOST, "Wigeonfront-Attempt-Id": f"caller-{self._sent}"}
--- a/src/wigeonfront/client/entries.py
+++ b/src/wigeonfront/client/entries.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from wigeonfront.clock import Clock
-from wigeonfront.http.client import Answer, Lost, NotSent, Pool
+from wigeonfront.http.client import Answer, NotSent, Pool, Unanswered
 
 GRACE_SECONDS = 0.5
 """Time beyond a deadline that an answer given at it needs to arrive."""
@@ -71,12 +71,12 @@
         body: Any,
         timeout: float,
         headers: dict[str, str] | None = None,
-    ) -> Answer | NotSent | Lost:
+    ) -> Answer | NotSent | Unanswered:
         """Call the entry whose turn it is; a lost call leaves its connections."""
         pool = self._pools[self._next]
         sent = self._own_headers | (headers or {})
         answer = pool.call(method, path, body, sent, max(0.001, timeout))
-        if isinstance(answer, Lost):
+        if isinstance(answer, Unanswered):
             pool.reset()
         return answer
 
--- a/src/wigeonfront/client/refusal.py
+++ b/src/wigeonfront/client/refusal.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from wigeonfront.api.messages import ErrorReply
-from wigeonfront.http.client import Answer, Lost, NotSent
+from wigeonfront.http.client import Answer, NotSent, Unanswered
 
 BAD_ANSWER = "bad_answer"
 RETRIED_STATUSES = frozenset({408, 429, *range(500, 600)})
@@ -57,10 +57,10 @@
         return None
 
 
-def refusal(answer: Answer | NotSent | Lost) -> Again | CallRejected:
+def refusal(answer: Answer | NotSent | Unanswered) -> Again | CallRejected:
     """Return what an answer without a usable body means."""
     if not isinstance(answer, Answer):
-        return Again(answer.reason, reached=isinstance(answer, Lost))
+        return Again(answer.reason, reached=isinstance(answer, Unanswered))
     reply = decode(answer.body, ErrorReply) or ErrorReply(BAD_ANSWER)
     if answer.status in RETRIED_STATUSES:
         return Again(reply.detail or reply.error, answer.retry_after)
--- a/src/wigeonfront/client/request.py
+++ b/src/wigeonfront/client/request.py
@@ -12,7 +12,7 @@
 from wigeonfront.client.entries import GRACE_SECONDS, Deadline, Entries
 from wigeonfront.client.refusal import BAD_ANSWER, CallRejected, decode, refusal
 from wigeonfront.clock import Clock, SystemClock
-from wigeonfront.http.client import Answer, Lost, NotSent
+from wigeonfront.http.client import Answer, NotSent, Unanswered
 from wigeonfront.outcomes import Completed, Expired, Failed, NotRun, Outcome, Unknown
 
 PATIENCE_SHARE = 1 / 3
@@ -135,7 +135,7 @@
 
     def _send(
         self, request: Request, deadline: Deadline, patience: float
-    ) -> Answer | NotSent | Lost:
+    ) -> Answer | NotSent | Unanswered:
         left = max(deadline.remaining, SHORTEST_TIMEOUT)
         wait = min(left, patience) if request.repeatable else left
         headers = {REQUEST_HEADER: uuid.uuid4().hex[:16]}
@@ -155,10 +155,10 @@
         )
 
 
-def _end(answer: Answer | NotSent | Lost) -> Outcome | CallRejected:
+def _end(answer: Answer | NotSent | Unanswered) -> Outcome | CallRejected:
     if isinstance(answer, NotSent):
         return NotRun(answer.reason, 0.0)
-    if isinstance(answer, Lost):
+    if isinstance(answer, Unanswered):
         return Unknown(answer.reason)
     reply = decode(answer.body, RequestReply)
     if reply is not None:
--- a/src/wigeonfront/client/trainer.py
+++ b/src/wigeonfront/client/trainer.py
@@ -34,7 +34,7 @@
 )
 from wigeonfront.client.refusal import CallRejected, decode, refusal
 from wigeonfront.clock import Clock, SystemClock
-from wigeonfront.http.client import Answer, Lost, NotSent
+from wigeonfront.http.client import Answer, NotSent, Unanswered
 from wigeonfront.outcomes import Completed, GivenUp
 
 SUBMIT_SECONDS = 5.0
@@ -199,7 +199,7 @@
 
     def _page(
         self, lot: Lot, after: int, deadline: Deadline
-    ) -> Answer | NotSent | Lost:
+    ) -> Answer | NotSent | Unanswered:
         wait = max(0.0, min(MOST_WAIT_SECONDS, deadline.remaining))
         names = "/".join(quote(name, safe="") for name in (self._trainer, lot.lot))
         path = f"{LOTS_PATH}/{names}?after={after}&wait={wait:.3f}"
--- a/src/wigeonfront/commands/calls.py
+++ b/src/wigeonfront/commands/calls.py
@@ -5,7 +5,7 @@
 from typing import Any
 from urllib.parse import quote
 
-from wigeonfront.http.client import Answer, Lost, NotSent, Pool
+from wigeonfront.http.client import Answer, NotSent, Pool, Unanswered
 from wigeonfront.settings import OperatorSettings
 
 
@@ -89,7 +89,7 @@
     pool.close()
     if isinstance(answer, NotSent):
         return Unreachable(answer.reason)
-    if isinstance(answer, Lost):
+    if isinstance(answer, Unanswered):
         return AnswerLost(answer.reason)
     return Response(address, answer.status, _data(answer))
 
--- a/src/wigeonfront/forwarding/streams.py
+++ b/src/wigeonfront/forwarding/streams.py
@@ -176,7 +176,7 @@
         self._fail(call, request, end)
 
     def _fail(self, call: RawCall, request: ForwardRequest, end: Fail) -> None:
-        if call.began:
+        if call.answer_started:
             call.abort()
             status = 0
         else:
@@ -225,7 +225,7 @@
             return (StreamEnd.REFUSED if refused else StreamEnd.BROKEN), last_id
         if opened.status != OK:
             return self._pass_error(opened, target.id, call), last_id
-        if not call.began:
+        if not call.answer_started:
             call.begin(OK, self._protocol.response_headers(opened.headers))
         ended, last_id = self._pass_events(opened, call, last_id, due, start)
         evidence = "success" if ended is StreamEnd.DONE else "failure"
@@ -252,7 +252,7 @@
             return StreamEnd.BROKEN
         bad = opened.status >= SERVER_ERROR
         self._table.ended(target_id, "failure" if bad else "success")
-        if call.began:
+        if call.answer_started:
             return StreamEnd.BROKEN
         call.reply(opened.status, body, self._protocol.response_headers(opened.headers))
         return StreamEnd.DONE
--- a/src/wigeonfront/http/client.py
+++ b/src/wigeonfront/http/client.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class Unanswered:
     """The call was sent at least in part and no whole answer came."""
 
     reason: str
@@ -98,7 +98,7 @@
         body: Any = None,
         headers: dict[str, str] | None = None,
         timeout: float | None = None,
-    ) -> Answer | NotSent | Lost:
+    ) -> Answer | NotSent | Unanswered:
         """Make one call and return its end as a value."""
         read = self._read_seconds if timeout is None else timeout
         try:
@@ -106,7 +106,7 @@
         except (NewConnectionError, ConnectTimeoutError, NameResolutionError) as error:
             return _not_sent(error)
         except (HTTPError, OSError) as error:
-            return Lost(type(error).__name__)
+            return Unanswered(type(error).__name__)
         retry_after = _seconds(response.headers.get("Retry-After", ""))
         return Answer(response.status, response.data, retry_after)
 
--- a/src/wigeonfront/http/pools.py
+++ b/src/wigeonfront/http/pools.py
@@ -2,7 +2,7 @@
 
 import threading
 
-from wigeonfront.http.client import Answer, Lost, NotSent, Pool
+from wigeonfront.http.client import Answer, NotSent, Pool, Unanswered
 
 
 class Pools:
@@ -21,7 +21,7 @@
 
     def post(
         self, address: str, path: str, body: bytes, timeout: float
-    ) -> Answer | NotSent | Lost:
+    ) -> Answer | NotSent | Unanswered:
         """Post `body` to `path` at `address`; wait `timeout` seconds for the answer."""
         return self._pool(address).call("POST", path, body, timeout=timeout)
 
--- a/src/wigeonfront/http/raw.py
+++ b/src/wigeonfront/http/raw.py
@@ -89,7 +89,7 @@
     ) -> None:
         self._request = request
         self._closing = closing
-        self._began = False
+        self._answer_started = False
         self._read = False
         self.headers: Headers = tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
@@ -123,9 +123,9 @@
         return self._request.conn.socket
 
     @property
-    def began(self) -> bool:
+    def answer_started(self) -> bool:
         """Whether a part of the answer was sent."""
-        return self._began
+        return self._answer_started
 
     def header(self, name: str) -> str:
         """Return a header's value, or an empty string."""
@@ -184,7 +184,7 @@
         # What is left of a body must not be taken for the next request.
         if self._closing() or unread or status in (400, 408, 413, 431):
             request.close_connection = True
-        self._began = True
+        self._answer_started = True
         request.sent_headers = True
         request.send_headers()
 
@@ -271,7 +271,7 @@
             event(logger, "caller_lost", level=logging.DEBUG, detail=str(error))
         except Exception:
             logger.exception("event=handler_failed target=%s", call.path[:200])
-            if call.began:
+            if call.answer_started:
                 call.abort()
             else:
                 call.reply(500)
--- a/src/wigeonfront/platform/duty_calls.py
+++ b/src/wigeonfront/platform/duty_calls.py
@@ -23,7 +23,9 @@
 
     def __init__(self, address: str) -> None:
         # What is not answered in time is reset, so that it does not arrive later.
-        self._client = JsonClient(address, CONNECT_SECONDS, CALL_SECONDS, resets=True)
+        self._client = JsonClient(
+            address, CONNECT_SECONDS, CALL_SECONDS, reset_on_close=True
+        )
 
     def report_usage(
         self, window: int, counts: Mapping[str, int], holder: str, fence: int
--- a/src/wigeonfront/platform/engine_calls.py
+++ b/src/wigeonfront/platform/engine_calls.py
@@ -56,7 +56,9 @@
     """
 
     def __init__(self, address: str, holder: str, id: str = "") -> None:
-        self._client = JsonClient(address, CONNECT_SECONDS, CALL_SECONDS, resets=True)
+        self._client = JsonClient(
+            address, CONNECT_SECONDS, CALL_SECONDS, reset_on_close=True
+        )
         self._holder = holder
         self._headers = {names.EXPECT_INSTANCE: id} if id else {}
 
--- a/src/wigeonfront/platform/json_client.py
+++ b/src/wigeonfront/platform/json_client.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unsent:
+class NotSent:
     """No connection was made, so the call had no effect."""
 
     reason: str
@@ -84,7 +84,7 @@
         ``http://host:port`` or ``host:port``.
     connect_timeout, read_timeout : float
         Seconds to wait for a connection and for an answer.
-    resets : bool
+    reset_on_close : bool
         Connections end by a reset, so that a call whose answer was not waited for is
         not delivered once a cut network heals.
     """
@@ -94,18 +94,20 @@
         url: str,
         connect_timeout: float = CONNECT_TIMEOUT,
         read_timeout: float = READ_TIMEOUT,
-        resets: bool = False,
+        reset_on_close: bool = False,
     ) -> None:
         self._url = url if "://" in url else f"http://{url}"
         self._connect_timeout = connect_timeout
         self._read_timeout = read_timeout
-        self._socket_options = [NO_DELAY, RESET_ON_CLOSE] if resets else [NO_DELAY]
+        self._socket_options = (
+            [NO_DELAY, RESET_ON_CLOSE] if reset_on_close else [NO_DELAY]
+        )
         self._lock = threading.Lock()
         self._pool = self._new_pool()
 
     def get(
         self, path: str, query: dict[str, Any] | None = None, wait: float = 0.0
-    ) -> Answer | Unsent | Unanswered:
+    ) -> Answer | NotSent | Unanswered:
         """Read; tried once more when a kept-alive connection was cut.
 
         Parameters
@@ -125,12 +127,12 @@
 
     def post(
         self, path: str, body: Any, headers: Mapping[str, str] | None = None
-    ) -> Answer | Unsent | Unanswered:
+    ) -> Answer | NotSent | Unanswered:
         """Write `body` as JSON, once; without a body for ``None``."""
         data = b"" if body is None else msgspec.json.encode(body)
         return self._call("POST", path, data, 0.0, headers)
 
-    def delete(self, path: str) -> Answer | Unsent | Unanswered:
+    def delete(self, path: str) -> Answer | NotSent | Unanswered:
         """Delete what `path` names, once."""
         return self._call("DELETE", path, None, 0.0)
 
@@ -158,7 +160,7 @@
         body: bytes | None,
         wait: float,
         headers: Mapping[str, str] | None = None,
-    ) -> Answer | Unsent | Unanswered:
+    ) -> Answer | NotSent | Unanswered:
         with self._lock:
             pool = self._pool
         try:
@@ -174,7 +176,7 @@
                 ),
             )
         except (NewConnectionError, ConnectTimeoutError):
-            return Unsent("connect")
+            return NotSent("connect")
         except ProtocolError:
             return Unanswered("cut")
         except HTTPError as error:
@@ -196,7 +198,7 @@
 
 
 def read(
-    answer: Answer | Unsent | Unanswered, reply_type: type[Decoded]
+    answer: Answer | NotSent | Unanswered, reply_type: type[Decoded]
 ) -> Decoded | Unavailable:
     """Return a read's reply; a read that gave nothing changed nothing."""
     if isinstance(answer, Answer) and answer.status == OK:
@@ -205,7 +207,7 @@
     return unavailable(answer)
 
 
-def unavailable(answer: Answer | Unsent | Unanswered) -> Unavailable:
+def unavailable(answer: Answer | NotSent | Unanswered) -> Unavailable:
     """Return why `answer` gave nothing."""
     if isinstance(answer, Answer):
         return Unavailable(f"status {answer.status}")
--- a/src/wigeonfront/platform/metadata_store.py
+++ b/src/wigeonfront/platform/metadata_store.py
@@ -27,8 +27,8 @@
     THROTTLED,
     Answer,
     JsonClient,
+    NotSent,
     Unanswered,
-    Unsent,
     decode,
     read,
     unavailable,
@@ -215,17 +215,17 @@
     return Mismatch(now)
 
 
-def _leased(answer: Answer | Unsent | Unanswered, lease: int) -> Lease | None:
+def _leased(answer: Answer | NotSent | Unanswered, lease: int) -> Lease | None:
     if not isinstance(answer, Answer) or answer.status != OK:
         return None
     reply = decode(answer, _Leased)
     return Lease(reply.lease or lease, reply.ttl_ms / 1000) if reply else None
 
 
-def _lost(answer: Answer | Unsent | Unanswered) -> Unavailable | Uncertain:
+def _lost(answer: Answer | NotSent | Unanswered) -> Unavailable | Uncertain:
     """Tell a write that had no effect from one that may have had."""
     if isinstance(answer, Unanswered):
         return Uncertain(answer.reason)
-    if isinstance(answer, Unsent) or answer.status in (THROTTLED, REFUSED):
+    if isinstance(answer, NotSent) or answer.status in (THROTTLED, REFUSED):
         return unavailable(answer)
     return Uncertain(f"status {answer.status}")
--- a/tests/test_http_raw.py
+++ b/tests/test_http_raw.py
@@ -6,7 +6,7 @@
 from platform_standins.served import Served
 from rows_fakes import free_address
 from wigeonfront.http import raw
-from wigeonfront.http.client import Answer, Lost, Pool
+from wigeonfront.http.client import Answer, Pool, Unanswered
 
 
 def serve(handler):
@@ -32,8 +32,8 @@
     ("handler", "expected"),
     [
         (lambda call: call.reply(200, b"x"), Answer),
-        (lambda call: call.abort(), Lost),
-        (lose_caller, Lost),
+        (lambda call: call.abort(), Unanswered),
+        (lose_caller, Unanswered),
     ],
 )
 def test_a_call_that_is_cut_off_has_no_answer_and_is_no_error(
--- a/tests/test_json_client.py
+++ b/tests/test_json_client.py
@@ -10,8 +10,8 @@
 from wigeonfront.platform.json_client import (
     Answer,
     JsonClient,
+    NotSent,
     Unanswered,
-    Unsent,
     parse_retry_after,
     read,
 )
@@ -78,14 +78,16 @@
 
 def test_without_a_connection_nothing_was_sent():
     client = client_of(free_address())
-    assert isinstance(client.post("/p", {}), Unsent)
+    assert isinstance(client.post("/p", {}), NotSent)
     assert isinstance(read(client.get("/p"), int), Unavailable)
 
 
-@pytest.mark.parametrize("resets", [False, True])
-def test_a_silent_service_is_not_waited_for(resets):
+@pytest.mark.parametrize("reset_on_close", [False, True])
+def test_a_silent_service_is_not_waited_for(reset_on_close):
     with socket.create_server(("127.0.0.1", 0)) as silent:
-        client = client_of(f"127.0.0.1:{silent.getsockname()[1]}", resets=resets)
+        client = client_of(
+            f"127.0.0.1:{silent.getsockname()[1]}", reset_on_close=reset_on_close
+        )
         pool = client._pool
         assert isinstance(client.post("/p", {}), Unanswered)
         # Its other connections may be as silent.
