--- a/src/wigeonfront/platform/boot.py
+++ b/src/wigeonfront/platform/boot.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform lays down for each process."""
+"""Reads the settings file that the platform provides for each process."""
 
 import tomllib
 from pathlib import Path
@@ -13,15 +13,15 @@
 
 
 class _Listen(msgspec.Struct, frozen=True):
-    # Where clients connect, and where the platform asks for readiness.
+    # Addresses on which clients connect and the platform asks for readiness.
     front: str = ""
     ready: str = ""
-    # Where the system's own processes call each other.
+    # Address on which the system's own processes call this one.
     control: str = ""
 
 
 class _Limits(msgspec.Struct, frozen=True, rename="camel"):
-    # Share of a core, which is so many times as fast as one.
+    # Share of a processor that is as fast as `cores` cores.
     cpu_share: float = 1.0
     cores: float = 1.0
     memory_mb: float = 128
@@ -30,17 +30,18 @@
 
 
 class _Bounds(msgspec.Struct, frozen=True, rename="camel"):
-    # Time that the platform leaves between its stop signal and the kill.
+    # Time between the platform's stop signal and the kill.
     grace_s: float = msgspec.field(name="graceS", default=8)
     drain_ms: float = 2000
     config_ms: float = 2000
     lease_ms: float = 3000
     pass_ms: float = 120
-    # How long results stay readable after the Lot's submission.
+    # Time after a Lot's submission for which its results stay readable.
     status_ttl_s: float = msgspec.field(name="statusTtlS", default=120)
     cancel_ms: float = 3000
     require_fence: bool = False
-    # Unexplained; taken as in `Bounds`, see docs/design/accounts-and-duties.md.
+    # The platform does not explain this field. It is read as `Bounds` describes it,
+    # see docs/design/accounts-and-duties.md.
     strict_revoke: bool = False
     revoke_ms: float = 5000
     report_window_s: float = msgspec.field(name="reportWindowS", default=5)
@@ -48,12 +49,13 @@
 
 
 class _FaultTolerance(msgspec.Struct, frozen=True):
-    # Machines with a disk, or that count for another reason.
+    # Number of machines that may be lost at the same time, of those that have a disk
+    # or that count for another reason.
     machines: int = 1
 
 
 class _Cloud(msgspec.Struct, frozen=True):
-    # Of the calls that are the duty of one machine at a time.
+    # Where the calls go that are the duty of one machine at a time.
     address: str = ""
     duties: list[str] = []
 
@@ -70,7 +72,7 @@
     platform: _Platform
     zone: str = ""
     machine_class: str = ""
-    # First and last port that the system's processes may use among themselves.
+    # First and last port on which the system's processes may call each other.
     port_range: tuple[int, int] = (7720, 7735)
     seeds: list[str] = []
     listen: _Listen = _Listen()
@@ -79,18 +81,18 @@
     cloud: _Cloud = _Cloud()
     fault_tolerance: _FaultTolerance = _FaultTolerance()
     data_dir: str = ""
-    # The worker on this machine, where there is one.
+    # Address and service of the target on this machine; empty if there is none.
     app: str = ""
     service: str = ""
 
 
 def read_boot(path: str) -> NodeSettings:
-    """Return the settings in the file at `path`.
+    """Return the settings in the TOML file at `path`.
 
     Raises
     ------
     ValueError
-        When the file can't be read, or a field is missing or malformed.
+        If the file can't be read, or a field is missing or malformed.
     """
     try:
         fields: dict[str, Any] = tomllib.loads(Path(path).read_text())
@@ -111,7 +113,9 @@
         service=wire.service,
         data_folder=wire.data_dir,
         duty_address=wire.cloud.address,
-        duties=frozenset(_DUTIES[one] for one in wire.cloud.duties if one in _DUTIES),
+        duties=frozenset(
+            _DUTIES[name] for name in wire.cloud.duties if name in _DUTIES
+        ),
         tolerated_losses=wire.fault_tolerance.machines,
         memory_bytes=int(wire.limits.memory_mb * 1024 * 1024),
         cores=wire.limits.cpu_share * wire.limits.cores,
--- a/src/wigeonfront/platform/catalogue.py
+++ b/src/wigeonfront/platform/catalogue.py
@@ -1,7 +1,8 @@
-"""The configuration's row, as an `api.operations.CatalogueFormat`.
+"""Format of the configuration's row: an `api.operations.CatalogueFormat`.
 
-Operators see an API key by its fingerprint. A document that they write may name a key
-so, too: it stands for the key of the document that it replaces.
+Operators see the fingerprint of an API key in place of the key. A document that they
+write may contain such a fingerprint as well. It stands for the key with that
+fingerprint in the document that is replaced.
 """
 
 from collections.abc import Callable, Iterator
@@ -15,38 +16,44 @@
 from wigeonfront.platform import records
 
 FINGERPRINT_MARK = "fingerprint:"
-"""Begins a key that is named by its fingerprint; no key contains a colon."""
+"""Prefix of a fingerprint that stands for a key. No key contains a colon."""
 
 
 class PlatformCatalogue:
-    """The row that the platform's operators write."""
+    """Format of the row that the platform's operators write."""
 
     key = records.CONFIGURATION_KEY
 
     def decode(self, value: bytes) -> Configuration | BadDocument:
-        """Return the configuration that a document holds."""
-        found = records.decode_configuration(value)
-        if isinstance(found, records.BadRow):
-            return BadDocument(found.reason)
-        return found
+        """Return the configuration in a document, or why there is none."""
+        decoded = records.decode_configuration(value)
+        if isinstance(decoded, records.BadRow):
+            return BadDocument(decoded.reason)
+        return decoded
 
     def redacted(self, value: bytes) -> bytes:
-        """Return a document with fingerprints in place of keys."""
-        return _with_keys(value, _mark)
+        """Return a document with each key replaced by its fingerprint."""
+        return _with_keys(value, _to_fingerprint)
 
     def names_fingerprints(self, value: bytes) -> bool:
-        """Tell whether a document names a key by its fingerprint."""
+        """Return whether a document contains a fingerprint in place of a key."""
         return any(key.startswith(FINGERPRINT_MARK) for key in _keys(value))
 
     def restored(self, value: bytes, present: bytes) -> bytes | BadDocument:
-        """Return a document with the keys that its fingerprints stand for.
+        """Return a document with each fingerprint replaced by the key it stands for.
 
         Parameters
         ----------
+        value : bytes
         present : bytes
-            The document that it replaces.
+            The document that is replaced. It contains the keys.
+
+        Returns
+        -------
+        bytes or BadDocument
+            `BadDocument` if no key in `present` has one of the fingerprints.
         """
-        known = {_mark(key): key for key in _keys(present)}
+        known = {_to_fingerprint(key): key for key in _keys(present)}
         unknown = [
             key
             for key in _keys(value)
@@ -57,14 +64,18 @@
         return _with_keys(value, lambda key: known.get(key, key))
 
 
-def _mark(key: str) -> str:
+def _to_fingerprint(key: str) -> str:
+    """Return the marked fingerprint of a key; a fingerprint is returned unchanged."""
     if key.startswith(FINGERPRINT_MARK):
         return key
     return FINGERPRINT_MARK + fingerprint(key)
 
 
 def _accounts(document: Any) -> Iterator[dict[str, Any]]:
-    """Yield the accounts of a document that have keys; a malformed one has none."""
+    """Yield the accounts of a document that have a list of keys.
+
+    Yields nothing for a malformed document.
+    """
     accounts = document.get("tenants") if isinstance(document, dict) else None
     for account in accounts if isinstance(accounts, list) else ():
         if isinstance(account, dict) and isinstance(account.get("apiKeys"), list):
@@ -80,19 +91,24 @@
     ]
 
 
-def _with_keys(value: bytes, replaced: Callable[[str], str]) -> bytes:
+def _with_keys(value: bytes, replace: Callable[[str], str]) -> bytes:
+    """Return a document with `replace` applied to each key.
+
+    A document without keys is returned byte for byte.
+    """
     document = _decoded(value)
     accounts = list(_accounts(document))
     if not accounts:
         return value
     for account in accounts:
         account["apiKeys"] = [
-            replaced(key) if isinstance(key, str) else key for key in account["apiKeys"]
+            replace(key) if isinstance(key, str) else key for key in account["apiKeys"]
         ]
     return msgspec.json.encode(document)
 
 
 def _decoded(value: bytes) -> Any:
+    """Return the decoded document, or ``None`` if it is not JSON."""
     try:
         return msgspec.json.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/src/wigeonfront/platform/duty_calls.py
+++ b/src/wigeonfront/platform/duty_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that are the duty of one machine at a time."""
+"""Calls to the platform that only one machine at a time may make."""
 
 from collections.abc import Mapping
 
@@ -8,12 +8,12 @@
 
 CONNECT_SECONDS = 0.3
 CALL_SECONDS = 0.6
-"""Longest wait for an answer; with that for the connection below the time in which an
-act must have arrived after its right was checked."""
+"""Longest wait for an answer. Together with the wait for a connection it is shorter
+than the time within which a call must arrive after the right to it was checked."""
 
 
 class PlatformDuties:
-    """The platform's interface for duties at `address`.
+    """Client of the platform's interface for duties.
 
     Parameters
     ----------
@@ -22,7 +22,8 @@
     """
 
     def __init__(self, address: str) -> None:
-        # What is not answered in time is reset, so that it does not arrive later.
+        # A call that is not answered in time must not arrive later: its connection is
+        # reset.
         self._client = JsonClient(
             address, CONNECT_SECONDS, CALL_SECONDS, reset_on_close=True
         )
@@ -30,7 +31,17 @@
     def report_usage(
         self, window: int, counts: Mapping[str, int], holder: str, fence: int
     ) -> DutyOutcome:
-        """Send the counts of a window, once."""
+        """Send the usage counts of a window, without a retry.
+
+        Parameters
+        ----------
+        window : int
+        counts : mapping of str to int
+        holder : str
+            Name of the machine that holds the duty.
+        fence : int
+            Fencing token of the duty.
+        """
         body = {"window": window, "counts": dict(counts)}
         return self._send("/usage", body, holder, fence)
 
--- a/src/wigeonfront/platform/engine_calls.py
+++ b/src/wigeonfront/platform/engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a model engine about its weights, as a `weights.mover.Engine`."""
+"""Calls to a model engine about its weights: a `weights.mover.Engine`."""
 
 import msgspec
 
@@ -14,16 +14,17 @@
 
 CONNECT_SECONDS = 0.3
 CALL_SECONDS = 0.4
-"""Longest wait for an answer: an order that is not answered by then may be carried out
-later all the same."""
+"""Longest wait for an answer. An order that is not answered by then may still be
+carried out later."""
 
 _ANSWERS = {202: ACCEPTED, 200: HELD}
 
 KEEP_RUNNING = "retain"
-"""Mode in which runs in progress go on under the new version."""
+"""Mode in which the engine continues runs in progress under the new version."""
 
 FINISH_RUNS = "wait"
-"""Mode in which runs in progress end first; until then no other run starts."""
+"""Mode in which the engine finishes runs in progress before it changes the version; it
+starts no other run until then."""
 
 
 class _Model(msgspec.Struct, frozen=True):
@@ -34,7 +35,7 @@
 class _Report(msgspec.Struct, frozen=True, rename="camel"):
     models: list[_Model] = []
     busy: bool = False
-    # Orders accepted since the engine's start, not a position in a stream.
+    # Number of orders accepted since the engine's start, not a position in a stream.
     seq: int = 0
     num_running: int = 0
     num_waiting: int = 0
@@ -42,17 +43,17 @@
 
 
 class PlatformEngine:
-    """The engine at `address`.
+    """Client of one engine.
 
     Parameters
     ----------
     address : str
         ``host:port``.
     holder : str
-        Name under which orders are given.
+        Name of the machine that gives the orders.
     id : str
-        Under which the engine registered; any other one at the address carries out no
-        order. Empty for the engine on this machine.
+        Id under which the engine registered. Another engine at the same address
+        refuses the orders. Empty for the engine on this machine.
     """
 
     def __init__(self, address: str, holder: str, id: str = "") -> None:
@@ -63,7 +64,7 @@
         self._headers = {names.EXPECT_INSTANCE: id} if id else {}
 
     def report(self) -> EngineReport | Unavailable:
-        """Return what the engine says of itself."""
+        """Return the state that the engine reports."""
         wire = read(self._client.get("/report"), _Report)
         if isinstance(wire, Unavailable):
             return wire
@@ -77,7 +78,21 @@
         )
 
     def move(self, order: MoveOrder, fence: int, expected: int) -> str:
-        """Give an order; return how the engine answered, for the log."""
+        """Send an order, without a retry.
+
+        Parameters
+        ----------
+        order : MoveOrder
+        fence : int
+            Fencing token of `holder`.
+        expected : int
+            Number of orders that the engine must have accepted before this one.
+
+        Returns
+        -------
+        str
+            How the engine answered, or why it did not, for the log.
+        """
         body = {
             "op": "version",
             "model": order.model,
--- a/src/wigeonfront/platform/front.py
+++ b/src/wigeonfront/platform/front.py
@@ -1,7 +1,7 @@
-"""The platform's calls on an entry: plain requests, streams and Lots.
+"""Answers the platform's calls to an entry: plain requests, streams and Lots.
 
-This front finds the route, hands the call to the core, and says the outcome as a
-status. It decides nothing else.
+The front finds the route of a call, checks its API key, passes it to the core, and
+answers with the status that stands for the outcome. It makes no other decisions.
 """
 
 import logging
@@ -21,7 +21,7 @@
 from wigeonfront.observability.logs import event
 from wigeonfront.observability.metrics import Counter, Histogram
 from wigeonfront.platform import headers as names
-from wigeonfront.platform.lot_front import LotFront, takes_lots
+from wigeonfront.platform.lot_front import LotFront, accepts_lots
 from wigeonfront.platform.target_calls import forwarded_headers
 
 logger = logging.getLogger(__name__)
@@ -32,19 +32,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontMetrics:
-    """What the front counts."""
+    """Metrics of the front: answers by status, and durations of calls in seconds."""
 
     answers: Counter
     seconds: Histogram
 
 
 class Front:
-    """Answers callers.
+    """Answers the calls of the platform's callers and trainers.
 
     Parameters
     ----------
     configuration : callable
-        Returns the configuration in force, or ``None`` before the first is known.
+        Returns the configuration in force, or ``None`` if none is known yet.
     forwarder : Forwarder
     streams : StreamForwarder
     lots : LotFront
@@ -82,24 +82,27 @@
         route = configuration.find(host, call.path)
         routes = [route] if route else self._lot_routes(call, configuration, host)
         if not routes:
-            self._unknown_route(call, configuration, host)
+            self._answer_unknown_route(call, configuration, host)
             return
         admission = self._admit(call, configuration, routes)
         if not isinstance(admission, Admitted):
             _refuse(admission, call)
         elif route is not None:
-            self._route(call, route, configuration, admission, started)
+            self._answer_on_route(call, route, configuration, admission, started)
         else:
             self._lots.answer(call, configuration, admission)
-            self._count("lots", started)
+            self._observe_seconds("lots", started)
 
     def _lot_routes(
         self, call: RawCall, configuration: Configuration, host: str
     ) -> list[Route]:
-        """Return the routes of a Lot that a call may be about; none if it is not."""
-        if not self._lots.takes(call):
+        """Return the routes to which the Lot of a call may belong.
+
+        Empty if the call is not about a Lot that was submitted before.
+        """
+        if not self._lots.is_lot_call(call):
             return []
-        return [one for one in configuration.routes if takes_lots(one, host)]
+        return [route for route in configuration.routes if accepts_lots(route, host)]
 
     def _admit(
         self, call: RawCall, configuration: Configuration, routes: list[Route]
@@ -111,7 +114,7 @@
             call.header(names.AUTHORIZATION),
         )
 
-    def _unknown_route(
+    def _answer_unknown_route(
         self, call: RawCall, configuration: Configuration, host: str
     ) -> None:
         event(
@@ -124,7 +127,7 @@
         )
         call.reply(404)
 
-    def _route(
+    def _answer_on_route(
         self,
         call: RawCall,
         route: Route,
@@ -150,20 +153,21 @@
             if route.kind is RouteKind.STREAMING:
                 self._streams.forward(request, route, started, deadline, call)
             else:
-                self._forward(call, request, route, deadline, started)
-        self._count(route.kind.value, started)
+                self._forward_plain(call, request, route, deadline, started)
+        self._observe_seconds(route.kind.value, started)
 
-    def _count(self, kind: str, started: float) -> None:
+    def _observe_seconds(self, kind: str, started: float) -> None:
         self._metrics.seconds.observe(self._clock.monotonic() - started, kind=kind)
 
     # --- plain requests ------------------------------------------------------
 
     def _deadline(self, call: RawCall, started: float) -> float:
+        """Return the monotonic time by which the caller wants an answer."""
         text = call.header(names.DEADLINE_MS)
         seconds = int(text) / 1000 if text.isdigit() else DEFAULT_DEADLINE_SECONDS
         return started + seconds
 
-    def _forward(
+    def _forward_plain(
         self,
         call: RawCall,
         request: ForwardRequest,
@@ -205,6 +209,7 @@
 
 @singledispatch
 def _refuse(admission: Admission, call: RawCall) -> None:
+    """Answer a call that is not admitted."""
     raise TypeError(f"not a refusal: {admission!r}")
 
 
@@ -220,7 +225,8 @@
 
 @singledispatch
 def _answer(ended: Ended, call: RawCall, id: str) -> int:
-    raise TypeError(f"not an end: {ended!r}")
+    """Answer a plain request; return the status, 0 if the caller gets no answer."""
+    raise TypeError(f"not the end of a request: {ended!r}")
 
 
 @_answer.register
--- a/src/wigeonfront/platform/json_client.py
+++ b/src/wigeonfront/platform/json_client.py
@@ -1,8 +1,8 @@
-"""JSON calls over HTTP with the certainty of their effect as the outcome.
+"""JSON calls over HTTP; the outcome says whether a call may have taken effect.
 
-The adapters of this package share `JsonClient`. It tells apart a call that was
-never sent from one that was sent and not answered, because only the second may
-have taken effect.
+The adapters of this package share `JsonClient`. It distinguishes a call that was never
+sent from one that was sent and not answered, because only the latter may have taken
+effect.
 """
 
 import threading
@@ -27,73 +27,74 @@
 OK = 200
 NOT_FOUND = 404
 THROTTLED = 429
-CONNECT_TIMEOUT = 1.0
-READ_TIMEOUT = 3.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+READ_TIMEOUT_SECONDS = 3.0
 JSON_HEADERS = {"Content-Type": "application/json"}
 POOL_SIZE = 16
-"""Idle connections kept: after an outage many readers of Lots call at once."""
-RETRY_AFTER_DEFAULT = 1.0
-RETRY_AFTER_LIMIT = 300.0
+"""Largest number of idle connections: after an outage many readers of Lots call at
+once."""
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
+MAX_RETRY_AFTER_SECONDS = 300.0
 
 Decoded = TypeVar("Decoded")
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The service answered.
+    """The answer of the service.
 
     Attributes
     ----------
     status : int
         HTTP status.
     body : bytes
-        The whole body, undecoded.
+        The complete body, undecoded.
     retry_after : float
-        Seconds of the ``Retry-After`` header, or a default.
+        Seconds in the ``Retry-After`` header, or the default of one second.
     """
 
     status: int
     body: bytes = field(repr=False)
-    retry_after: float = RETRY_AFTER_DEFAULT
+    retry_after: float = DEFAULT_RETRY_AFTER_SECONDS
 
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """No connection was made, so the call had no effect."""
+    """No connection was established, so the call had no effect."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """The call was sent and no whole answer came back."""
+    """The call was sent, but no complete answer arrived: it may have taken effect."""
 
     reason: str
 
 
 class JsonClient:
-    """Calls to one HTTP service over kept-alive connections.
+    """Client of one HTTP service over kept-alive connections.
 
-    A connection that timed out may be silent for good, and so may the others
-    opened beside it. After any lost answer all pooled connections are dropped, so
-    that the next call opens a new one.
+    A connection on which a call timed out may never answer again, and the same holds
+    for the other connections of the pool. After a timeout all pooled connections are
+    therefore dropped, so that the next call opens a new one.
 
     Parameters
     ----------
     url : str
         ``http://host:port`` or ``host:port``.
     connect_timeout, read_timeout : float
-        Seconds to wait for a connection and for an answer.
+        Longest wait for a connection and for an answer, in seconds.
     reset_on_close : bool
-        Connections end by a reset, so that a call whose answer was not waited for is
-        not delivered once a cut network heals.
+        Whether connections are closed by a reset. A call whose answer the client no
+        longer waits for is then not delivered when an interrupted network recovers.
     """
 
     def __init__(
         self,
         url: str,
-        connect_timeout: float = CONNECT_TIMEOUT,
-        read_timeout: float = READ_TIMEOUT,
+        connect_timeout: float = CONNECT_TIMEOUT_SECONDS,
+        read_timeout: float = READ_TIMEOUT_SECONDS,
         reset_on_close: bool = False,
     ) -> None:
         self._url = url if "://" in url else f"http://{url}"
@@ -108,16 +109,16 @@
     def get(
         self, path: str, query: dict[str, Any] | None = None, wait: float = 0.0
     ) -> Answer | NotSent | Unanswered:
-        """Read; tried once more when a kept-alive connection was cut.
+        """Send a GET request; retry it once if a kept-alive connection was closed.
 
         Parameters
         ----------
         path : str
-            Path of the call.
+            Path of the request.
         query : dict, optional
             Query parameters.
         wait : float
-            Seconds for which the service itself may hold the call open.
+            Seconds for which the service may hold the request open before it answers.
         """
         target = f"{path}?{urlencode(query)}" if query else path
         answer = self._call("GET", target, None, wait)
@@ -128,12 +129,12 @@
     def post(
         self, path: str, body: Any, headers: Mapping[str, str] | None = None
     ) -> Answer | NotSent | Unanswered:
-        """Write `body` as JSON, once; without a body for ``None``."""
+        """Post `body` as JSON without a retry; ``None`` sends no body."""
         data = b"" if body is None else msgspec.json.encode(body)
         return self._call("POST", path, data, 0.0, headers)
 
     def delete(self, path: str) -> Answer | NotSent | Unanswered:
-        """Delete what `path` names, once."""
+        """Delete the resource at `path`, without a retry."""
         return self._call("DELETE", path, None, 0.0)
 
     def close(self) -> None:
@@ -190,7 +191,7 @@
 
 
 def decode(answer: Answer, reply_type: type[Decoded]) -> Decoded | None:
-    """Return the body as `reply_type`, or ``None`` where it is malformed."""
+    """Return the body decoded as `reply_type`, or ``None`` if it is malformed."""
     try:
         return msgspec.json.decode(answer.body, type=reply_type)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -200,7 +201,10 @@
 def read(
     answer: Answer | NotSent | Unanswered, reply_type: type[Decoded]
 ) -> Decoded | Unavailable:
-    """Return a read's reply; a read that gave nothing changed nothing."""
+    """Return the decoded reply to a read.
+
+    Every failure is `Unavailable`, because a read changes nothing.
+    """
     if isinstance(answer, Answer) and answer.status == OK:
         reply = decode(answer, reply_type)
         return Unavailable("malformed") if reply is None else reply
@@ -208,16 +212,17 @@
 
 
 def unavailable(answer: Answer | NotSent | Unanswered) -> Unavailable:
-    """Return why `answer` gave nothing."""
+    """Return the reason why `answer` contains no result."""
     if isinstance(answer, Answer):
         return Unavailable(f"status {answer.status}")
     return Unavailable(answer.reason)
 
 
 def parse_retry_after(value: str | None) -> float:
-    """Return the seconds of a ``Retry-After`` header.
+    """Return the seconds in a ``Retry-After`` header.
 
-    Dates and nonsense give the default of one second.
+    Dates, malformed values and values above `MAX_RETRY_AFTER_SECONDS` give the default
+    of one second.
 
     Examples
     --------
@@ -225,9 +230,9 @@
     (2.5, 1.0, 1.0)
     """
     try:
-        seconds = float(value or RETRY_AFTER_DEFAULT)
+        seconds = float(value or DEFAULT_RETRY_AFTER_SECONDS)
     except ValueError:
-        return RETRY_AFTER_DEFAULT
-    if not 0 <= seconds <= RETRY_AFTER_LIMIT:
-        return RETRY_AFTER_DEFAULT
+        return DEFAULT_RETRY_AFTER_SECONDS
+    if not 0 <= seconds <= MAX_RETRY_AFTER_SECONDS:
+        return DEFAULT_RETRY_AFTER_SECONDS
     return seconds
--- a/src/wigeonfront/platform/lot_calls.py
+++ b/src/wigeonfront/platform/lot_calls.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BadLot:
-    """A submission that can't be understood."""
+    """A submission that can't be decoded."""
 
     reason: str
 
@@ -45,10 +45,10 @@
     path: str
     headers: dict[str, str] = {}
     body: str = ""
-    # Prompt tokens and most output tokens together.
+    # Prompt tokens plus the largest number of output tokens.
     tokens: int = 0
     group: str = ""
-    # The reward call, not a service or a target.
+    # The sample's reward call. It is not the service or target that gives the score.
     scorer: _Scorer | None = None
 
 
@@ -56,7 +56,7 @@
     items: list[_Item]
     step: int = 0
     model: str = ""
-    # Oldest version that may generate the samples.
+    # Oldest version of the weights that may generate the samples.
     min_version: int = 0
     target_groups: int = 0
 
@@ -72,29 +72,30 @@
 class _Page(msgspec.Struct, frozen=True):
     total: int
     results: list[_Result]
-    # Position of the first result that is not in this page.
+    # Position of the first result after this page.
     next: int
 
 
 PAGE_BYTES = 900_000
-"""Text in one answer; the platform allows a megabyte in all."""
+"""Largest size of the texts in one answer. The platform allows a megabyte in total."""
 
-BYTES_A_TOKEN = 4
-"""Bytes of a prompt that make a token, about, where nobody has counted."""
+BYTES_PER_TOKEN = 4
+"""Approximate bytes per token of a prompt whose tokens nobody has counted."""
 
 DEFAULT_TOKENS = 1_000
-"""Most tokens that a sample is told to generate where its trainer does not say."""
+"""Largest number of tokens that a sample is told to generate if its trainer states
+none."""
 
 OK = 200
 MULTIPLE_CHOICES = 300
 
-_OWN_SAMPLE_HEADERS = (
+_SYSTEM_SAMPLE_HEADERS = (
     names.ATTEMPT_ID,
     names.LAST_EVENT_ID,
     names.PRIORITY,
     "host",
 )
-"""Headers of a sample that are the system's to set, not its trainer's."""
+"""Headers of a sample that the system sets. The trainer's own values are dropped."""
 
 _COMPLETED = "completed"
 _GIVEN_UP = "terminated"
@@ -103,14 +104,19 @@
 def decode_lot(
     id: str, route: Route, body: bytes, now: float, account: str = ""
 ) -> Lot | BadLot:
-    """Return the Lot that was submitted as `id`.
+    """Return the Lot that was submitted as `id`, or why `body` contains none.
 
     Parameters
     ----------
+    id : str
+    route : Route
+        Route on which the Lot was submitted.
+    body : bytes
+        The submission in the platform's JSON format, which calls samples items.
     now : float
-        Unix time in seconds.
+        Time of the submission: Unix time in seconds.
     account : str
-        Client account that submits it.
+        Client account that submits the Lot; empty if there is none.
     """
     try:
         wire = msgspec.json.decode(body, type=_Submission)
@@ -118,7 +124,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError, binascii.Error) as error:
         return BadLot(str(error)[:200])
     if len({sample.id for sample in samples}) != len(samples):
-        return BadLot("an item id stands twice")
+        return BadLot("two items have the same id")
     return Lot(
         id=id,
         host=route.host,
@@ -158,13 +164,17 @@
 
 
 def _expected_tokens(fields: dict[str, str]) -> int:
-    """Return the estimate of the tokens to be generated; 0 for none."""
+    """Return the expected number of output tokens; 0 if the trainer states none."""
     hint = fields.get(names.LENGTH_HINT.lower(), "")
     return int(hint) if hint.isdigit() else 0
 
 
 def encode_page(total: int, after: int, results: list[SampleResult]) -> bytes:
-    """Return the answer to a reading of results from position `after` on."""
+    """Return a page of results, which are read from position `after` on.
+
+    The page ends before the result with which its texts would exceed `PAGE_BYTES`, but
+    contains at least one result if there is any.
+    """
     page: list[_Result] = []
     size = 0
     for result in results:
@@ -179,25 +189,26 @@
 
 
 class PlatformSamples:
-    """How a sample is put to an engine, and its reward call to a plain service.
+    """Format of requests for samples and of reward calls.
 
-    A `rollout.sample_run.SampleProtocol` and a `rollout.reward_call.RewardProtocol`.
+    Implements `rollout.sample_run.SampleProtocol` and
+    `rollout.reward_call.RewardProtocol`.
     """
 
-    version_field = names.VERSION_LINE
+    version_field = names.VERSION_FIELD
 
     def sample_request(self, lot: Lot, sample: Sample, after: int) -> ForwardRequest:
         """Return the request that generates the events after `after`."""
-        own = (
-            (*_OWN_SAMPLE_HEADERS, names.AUTHORIZATION)
+        system_headers = (
+            (*_SYSTEM_SAMPLE_HEADERS, names.AUTHORIZATION)
             if lot.account
-            else (_OWN_SAMPLE_HEADERS)
+            else (_SYSTEM_SAMPLE_HEADERS)
         )
-        skipped = {name.lower() for name in own}
+        dropped = {name.lower() for name in system_headers}
         headers = [
             (name, value)
             for name, value in sample.headers
-            if name.lower() not in skipped
+            if name.lower() not in dropped
         ]
         headers.append(("Host", lot.host))
         headers.append((names.ATTEMPT_ID, sample.id))
@@ -216,8 +227,8 @@
         )
 
     def sample_headers(self, model: str, expected_tokens: int, body: bytes) -> Headers:
-        """Return the headers of a sample that came by another interface."""
-        prompt = max(1, len(body) // BYTES_A_TOKEN)
+        """Return the headers of a sample that was submitted by another interface."""
+        prompt = max(1, len(body) // BYTES_PER_TOKEN)
         counts = f"{prompt},{expected_tokens or DEFAULT_TOKENS}"
         digest = blake2b(body, digest_size=4).hexdigest()
         hint = ((names.LENGTH_HINT, str(expected_tokens)),) if expected_tokens else ()
@@ -229,22 +240,25 @@
         )
 
     def reward_request(self, call: RewardCall) -> ForwardRequest:
-        """Return the request that gives a sample's score."""
+        """Return the request to a target for a sample's score."""
         headers = (("Host", call.host), (names.ATTEMPT_ID, call.id))
         return ForwardRequest(call.id, "POST", call.path, headers, call.body, True)
 
     def score(self, answer: Answered) -> str:
-        """Return the score that a target's answer gives; empty if it gives none."""
+        """Return the score in a target's answer; empty if there is none.
+
+        The score is the value of the seal header, which must occur once.
+        """
         if not OK <= answer.status < MULTIPLE_CHOICES:
             return ""
-        marks = [
+        scores = [
             value
             for name, value in answer.headers
             if name.lower() == names.SEAL.lower()
         ]
-        return marks[0] if len(marks) == 1 else ""
+        return scores[0] if len(scores) == 1 else ""
 
     def answer_version(self, headers: HTTPHeaderDict) -> int:
-        """Return the version at which an answer begins; 0 if it says none."""
+        """Return the weights' version at which an answer begins; 0 if it names none."""
         text = headers.get(names.VERSION, "")
         return int(text) if text.isdigit() else 0
--- a/src/wigeonfront/platform/lot_front.py
+++ b/src/wigeonfront/platform/lot_front.py
@@ -1,6 +1,7 @@
-"""The platform's calls on an entry about Lots.
+"""Answers the platform's calls to an entry about Lots.
 
-A Lot belongs to the client account that submitted it; to other accounts it is unknown.
+A Lot belongs to the client account that submitted it. Calls of other accounts are
+answered as if the Lot did not exist.
 """
 
 import logging
@@ -30,7 +31,7 @@
 
 logger = logging.getLogger(__name__)
 
-MOST_WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 RETRY_SECONDS = "0.3"
 
 LOT_PATH = "/lots/"
@@ -44,7 +45,7 @@
 
 
 class LotFront:
-    """Answers trainers.
+    """Answers the calls of the platform's trainers.
 
     Parameters
     ----------
@@ -56,8 +57,8 @@
         self._lots = lots
         self._clock = clock
 
-    def takes(self, call: RawCall) -> bool:
-        """Tell whether a call is about a Lot that was submitted before."""
+    def is_lot_call(self, call: RawCall) -> bool:
+        """Return whether a call is about a Lot that was submitted before."""
         if call.path.startswith(LOT_PATH):
             return call.method in ("GET", "DELETE")
         return call.path.startswith(SAMPLE_PATH) and call.method == "GET"
@@ -70,9 +71,9 @@
         configuration: Configuration,
         admitted: Admitted,
     ) -> None:
-        """Keep a Lot and run it."""
+        """Store a Lot, start running it and answer the call."""
         name = call.header(names.ATTEMPT_ID)
-        lot_id = _id_of(name, configuration, admitted)
+        lot_id = _lot_id_of(name, configuration, admitted)
         now = self._clock.time()
         lot = decode_lot(lot_id, route, body, now, admitted.account)
         if isinstance(lot, BadLot) or call.method != "POST" or not name:
@@ -84,26 +85,30 @@
     def answer(
         self, call: RawCall, configuration: Configuration, admitted: Admitted
     ) -> None:
-        """Answer a call about a Lot, see `takes`."""
+        """Answer a call for which `is_lot_call` returns true."""
         if call.path.startswith(SAMPLE_PATH):
-            name, ask = call.path.removeprefix(SAMPLE_PATH), self._body(call)
+            name, operation = call.path.removeprefix(SAMPLE_PATH), self._body(call)
         else:
             name = call.path.removeprefix(LOT_PATH)
-            ask = self._lots.end if call.method == "DELETE" else self._read(call)
-        outcome = ask(_id_of(name, configuration, admitted))
+            operation = self._lots.end if call.method == "DELETE" else self._read(call)
+        outcome = operation(_lot_id_of(name, configuration, admitted))
         if isinstance(outcome, LotUnknown) and _may_be_unscoped(name, configuration):
-            outcome = ask(name)
-        if _gives_nothing(outcome):
-            _log_nothing(call, name, outcome)
+            outcome = operation(name)
+        if _is_without_results(outcome):
+            _log_call(call, name, outcome)
         _answer(outcome, call, 200)
 
     def _read(self, call: RawCall) -> Callable[[str], Any]:
+        """Return a function that reads the results that `call` asks for.
+
+        Its parameter is the id of the Lot.
+        """
         after = int(_query(call, "after") or 0)
         wait_ms = call.header(names.WAIT_MS)
         wait = int(wait_ms) / 1000 if wait_ms.isdigit() else 0.0
 
         def read(lot_id: str) -> _EncodedPage | LotUnknown | LotUnavailable:
-            page = self._lots.read(lot_id, after, min(wait, MOST_WAIT_SECONDS))
+            page = self._lots.read(lot_id, after, min(wait, MAX_WAIT_SECONDS))
             if not isinstance(page, LotPage):
                 return page
             encoded = encode_page(page.total, after, page.results)
@@ -112,34 +117,38 @@
         return read
 
     def _body(self, call: RawCall) -> Callable[[str], Any]:
+        """Return a function that reads the body of the sample that `call` asks for.
+
+        Its parameter is the id of the Lot.
+        """
         sample_id = _query(call, "id")
         return lambda lot_id: self._lots.body(lot_id, sample_id)
 
 
-def takes_lots(route: Route, host: str) -> bool:
-    """Tell whether Lots of a host come by a route."""
+def accepts_lots(route: Route, host: str) -> bool:
+    """Return whether Lots for `host` are submitted on a route."""
     return route.host == host and route.kind is RouteKind.LOTS
 
 
-def _id_of(name: str, configuration: Configuration, admitted: Admitted) -> str:
+def _lot_id_of(name: str, configuration: Configuration, admitted: Admitted) -> str:
     if configuration.accounts is None:
         return name
     return scoped_name(admitted.account, name)
 
 
 def _may_be_unscoped(name: str, configuration: Configuration) -> bool:
-    """Tell whether a Lot may have been submitted before there were accounts."""
+    """Return whether a Lot may have been submitted before there were accounts."""
     return configuration.accounts is not None and SEPARATOR not in name
 
 
-def _gives_nothing(outcome: object) -> bool:
-    """Tell whether a caller gets nothing of a Lot; all else is not worth a log line."""
+def _is_without_results(outcome: object) -> bool:
+    """Return whether a caller gets no results. Only such calls are logged."""
     if isinstance(outcome, _EncodedPage):
         return outcome.empty
     return isinstance(outcome, LotUnknown | LotUnavailable)
 
 
-def _log_nothing(call: RawCall, lot_id: str, outcome: object) -> None:
+def _log_call(call: RawCall, lot_id: str, outcome: object) -> None:
     event(
         logger,
         "lot_call",
@@ -158,7 +167,8 @@
 
 @singledispatch
 def _answer(outcome: object, call: RawCall, accepted: int = 202) -> None:
-    raise TypeError(f"not an outcome: {outcome!r}")
+    """Answer a call by its outcome; `accepted` is the status of a success."""
+    raise TypeError(f"not an outcome of a Lot call: {outcome!r}")
 
 
 @_answer.register
@@ -183,7 +193,7 @@
 
 @_answer.register
 def _(outcome: LotUncertain, call: RawCall, accepted: int = 202) -> None:
-    # 503 would promise that nothing of the Lot runs.
+    # The Lot may run. 503 would say that none of its samples do.
     call.reply(504)
 
 
--- a/src/wigeonfront/platform/metadata_store.py
+++ b/src/wigeonfront/platform/metadata_store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as a `wigeonfront.coordination.rows.RowStore`."""
+"""Client of the platform's store: a `wigeonfront.coordination.rows.RowStore`."""
 
 import base64
 from typing import Any
@@ -39,13 +39,14 @@
 REFUSED = 503
 
 CONNECT_SECONDS = 0.5
-"""Longest wait for a connection: a hundred times the store's usual answer."""
+"""Longest wait for a connection: a hundred times the usual answer time of the store."""
 
 CALL_SECONDS = 1.0
-"""Longest wait for an answer: three times that of a store sixty times slower."""
+"""Longest wait for an answer: three times the answer time of a store that is sixty
+times slower than usual."""
 
-LONGEST_WATCH_SECONDS = 30.0
-MOST_PAGES = 200
+MAX_WATCH_SECONDS = 30.0
+MAX_PAGES = 200
 
 
 class _Item(msgspec.Struct, frozen=True):
@@ -57,7 +58,7 @@
 
 class _Range(msgspec.Struct, frozen=True):
     items: list[_Item] = []
-    # The store's newest revision, not a position in the listing.
+    # Newest revision of the store, not a position in the listing.
     at: int = 0
     has_more: bool = msgspec.field(name="hasMore", default=False)
 
@@ -76,7 +77,7 @@
 
 
 class _Failed(msgspec.Struct, frozen=True):
-    # Present state of the rows that the conditions named.
+    # Current state of the rows in the conditions.
     items: list[_Item] = []
 
 
@@ -86,7 +87,7 @@
 
 
 class MetadataStore:
-    """Calls to the store; watches have connections of their own.
+    """Client of the store; watches use connections of their own.
 
     Parameters
     ----------
@@ -110,10 +111,14 @@
     def list(
         self, prefix: str, after: str = "", stale: bool = False
     ) -> Listing | Unavailable:
-        """Read all keys below `prefix`; pages are joined at the first's revision."""
+        """Read all keys below `prefix` that sort after `after`.
+
+        The pages are joined into one listing at the revision of the first page. A
+        `stale` read may be seconds old.
+        """
         rows: list[Row] = []
         revision = 0
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             query: dict[str, Any] = {"prefix": prefix}
             if after:
                 query["after"] = after
@@ -131,7 +136,7 @@
 
     def watch(self, prefix: str, after: int, timeout: float) -> Changes | Unavailable:
         """Wait up to `timeout` seconds for writes below `prefix` after a revision."""
-        wait = min(timeout, LONGEST_WATCH_SECONDS)
+        wait = min(timeout, MAX_WATCH_SECONDS)
         query = {"prefix": prefix, "after": after, "waitMs": int(wait * 1000)}
         answer = self._watches.get("/kv-watch", query, wait=wait)
         if isinstance(answer, Answer) and answer.status == HISTORY_GONE:
@@ -147,7 +152,7 @@
         puts: tuple[Put, ...] = (),
         deletes: tuple[str, ...] = (),
     ) -> TransactionOutcome:
-        """Write all of it if every condition holds, otherwise nothing."""
+        """Apply all writes and deletions if every condition holds, otherwise none."""
         body = {
             "expected": [
                 {"key": row.key, "revision": row.revision} for row in expected
@@ -163,19 +168,19 @@
         if isinstance(answer, Answer) and answer.status == OK:
             written = decode(answer, _Written)
             return Stored(written.revision) if written else Uncertain("malformed")
-        return _lost(answer)
+        return _write_failure(answer)
 
     def grant_lease(self, ttl: float) -> Lease | Unavailable | Uncertain:
-        """Ask for a lease of `ttl` seconds."""
+        """Request a lease of `ttl` seconds."""
         answer = self._calls.post("/kv-lease", {"ttlMs": int(ttl * 1000)})
-        return _leased(answer, 0) or _lost(answer)
+        return _decode_lease(answer, 0) or _write_failure(answer)
 
     def renew_lease(self, lease: int) -> Lease | LeaseLost | Unavailable:
         """Renew a lease for its full term."""
         answer = self._calls.post(f"/kv-keep/{lease}", None)
         if isinstance(answer, Answer) and answer.status == NOT_FOUND:
             return LeaseLost(lease)
-        return _leased(answer, lease) or unavailable(answer)
+        return _decode_lease(answer, lease) or unavailable(answer)
 
     def revoke_lease(self, lease: int) -> Stored | LeaseLost | Unavailable | Uncertain:
         """End a lease at once."""
@@ -184,7 +189,7 @@
             return LeaseLost(lease)
         if isinstance(answer, Answer) and answer.status == OK:
             return Stored(0)
-        return _lost(answer)
+        return _write_failure(answer)
 
     def close(self) -> None:
         """Close all connections."""
@@ -210,20 +215,27 @@
     failed = decode(answer, _Failed)
     if failed is None:
         return Uncertain("malformed")
-    now = {row.key: 0 for row in expected}
-    now.update((item.key, item.revision) for item in failed.items)
-    return Mismatch(now)
+    revisions = {row.key: 0 for row in expected}
+    revisions.update((item.key, item.revision) for item in failed.items)
+    return Mismatch(revisions)
+
 
+def _decode_lease(answer: Answer | NotSent | Unanswered, lease: int) -> Lease | None:
+    """Return the lease in an answer, or ``None`` if there is none.
 
-def _leased(answer: Answer | NotSent | Unanswered, lease: int) -> Lease | None:
+    `lease` is its id if the answer does not repeat it.
+    """
     if not isinstance(answer, Answer) or answer.status != OK:
         return None
     reply = decode(answer, _Leased)
     return Lease(reply.lease or lease, reply.ttl_ms / 1000) if reply else None
 
 
-def _lost(answer: Answer | NotSent | Unanswered) -> Unavailable | Uncertain:
-    """Tell a write that had no effect from one that may have had."""
+def _write_failure(answer: Answer | NotSent | Unanswered) -> Unavailable | Uncertain:
+    """Return the outcome of a failed write.
+
+    `Unavailable` if it certainly had no effect, and `Uncertain` if it may have had one.
+    """
     if isinstance(answer, Unanswered):
         return Uncertain(answer.reason)
     if isinstance(answer, NotSent) or answer.status in (THROTTLED, REFUSED):
--- a/src/wigeonfront/platform/records.py
+++ b/src/wigeonfront/platform/records.py
@@ -1,4 +1,4 @@
-"""Decodes what the operator and the targets write into the platform's store."""
+"""Decodes rows that operators, trainers and targets write into the platform's store."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -43,13 +43,13 @@
 
 DEFAULT_TIMEOUT_MS = 30_000
 
-MOST_SLOTS = 100_000
-MOST_COLD_MS = 3_600_000
-MOST_RETIRE_SECONDS = 86_400
-"""Bounds beyond which a number is a mistake of its writer: ten times what any machine
-runs at once, an hour, and a day."""
+MAX_SLOTS = 100_000
+MAX_COLD_MS = 3_600_000
+MAX_RETIRE_SECONDS = 86_400
+"""Largest numbers that are accepted in a row; a larger one is a mistake of its writer.
+They are ten times the requests that any machine runs at once, an hour, and a day."""
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 class _Split(msgspec.Struct, frozen=True):
@@ -61,7 +61,7 @@
     name: str
     host: str
     prefix: str
-    # An unknown kind is treated as one that may not be repeated.
+    # Requests on a route of an unknown kind are treated as non-idempotent.
     kind: str = ""
     service: str = ""
     traffic_split: list[_Split] = []
@@ -71,7 +71,7 @@
     priority: int = 0
     public: bool = False
     resumable: bool = False
-    # For Lots: when all results are due, after the first submission.
+    # For Lots: time from the first submission until all results are due.
     deadline_ms: float = 0.0
     max_queue_s: float = msgspec.field(name="maxQueueS", default=0.0)
     single_version: bool = False
@@ -84,7 +84,7 @@
 
 class _Engine(msgspec.Struct, frozen=True, rename="camel"):
     slot_count: int = 0
-    # Tokens in one event of a stream.
+    # Number of tokens in one event of a stream.
     stride: int = 1
     models: list[_Model] = []
 
@@ -104,7 +104,7 @@
 
 
 class _Tenant(msgspec.Struct, frozen=True, rename="camel"):
-    # A client account.
+    # The platform calls a client account a tenant.
     name: str
     api_keys: list[str] = []
     priority: Annotated[int, msgspec.Meta(ge=0)] | None = None
@@ -115,42 +115,43 @@
     routes: list[_Route] = []
     services: list[_Service] = []
     limits: _Limits = _Limits()
-    # The client accounts, undecoded: few versions change them.
+    # The client accounts, undecoded, because few versions change them.
     tenants: msgspec.Raw | msgspec.UnsetType = msgspec.UNSET
 
 
 class _Target(msgspec.Struct, frozen=True, rename="camel"):
-    # All fields that a target writes are demanded: a row that lacks one has another
-    # writer.
+    # Every field that a target writes is required: a row that lacks one was written by
+    # something else.
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
     zone: str
-    # Of its software, not of weights.
+    # Version of the target's software, not of the weights.
     version: str
-    slot_count: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)]
+    slot_count: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: Literal["ready", "draining"]
-    cold_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MOST_COLD_MS)]
+    cold_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_MS)]
     seq: Annotated[int, msgspec.Meta(ge=0)]
     models: list[_Model] = []
-    # Its start; with the id it names the incarnation.
+    # Unix time of the target's start, in milliseconds. Together with the id it
+    # identifies the incarnation.
     born: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
 class _Version(msgspec.Struct, frozen=True):
     version: Annotated[int, msgspec.Meta(ge=1)]
-    # Repeats the end of the key; what lacks it has another writer.
+    # Repeats the end of the row's key. A row without it was written by something else.
     model: Annotated[str, msgspec.Meta(min_length=1)]
 
 
 class _Retire(msgspec.Struct, frozen=True, rename="camel"):
-    duration_s: Annotated[float, msgspec.Meta(ge=0, le=MOST_RETIRE_SECONDS)] = (
+    duration_s: Annotated[float, msgspec.Meta(ge=0, le=MAX_RETIRE_SECONDS)] = (
         msgspec.field(name="durationS", default=10.0)
     )
 
 
 @dataclass(frozen=True, slots=True)
 class BadRow:
-    """A row that can't be read, or has another writer than is expected."""
+    """A row that can't be decoded, or whose writer is not the expected one."""
 
     reason: str
 
@@ -158,12 +159,14 @@
 def decode_configuration(
     value: bytes, with_accounts: bool = True
 ) -> Configuration | BadRow:
-    """Return the configuration, or why `value` holds none.
+    """Return the configuration, or why `value` contains none.
 
     Parameters
     ----------
+    value : bytes
     with_accounts : bool
-        ``False`` leaves the client accounts out, which only callers' calls need.
+        Whether to decode the client accounts. Only processes that answer callers need
+        them.
     """
     wire = _decode(value, _Configuration)
     if isinstance(wire, BadRow):
@@ -187,12 +190,15 @@
 
 @lru_cache(maxsize=1)
 def _directory(tenants: bytes) -> AccountDirectory | BadRow:
-    """Return the client accounts; kept, since most versions share them."""
+    """Return the client accounts.
+
+    The result is cached, because most versions of the configuration share it.
+    """
     wire = _decode(tenants, list[_Tenant])
     if isinstance(wire, BadRow):
         return wire
-    found = make_directory(_accounts(wire))
-    return BadRow(found.reason) if isinstance(found, BadAccounts) else found
+    directory = make_directory(_accounts(wire))
+    return BadRow(directory.reason) if isinstance(directory, BadAccounts) else directory
 
 
 def _accounts(wire: list[_Tenant]) -> Iterator[tuple[ClientAccount, list[str]]]:
@@ -201,14 +207,14 @@
 
 
 def decode_target(id: str, value: bytes) -> Target | BadRow:
-    """Return the target that registered as `id`, or why the row names none."""
+    """Return the target that registered as `id`, or why the row is malformed."""
     if not id or "/" in id:
-        return BadRow("key of another form")
+        return BadRow("the key contains no valid id")
     wire = _decode(value, _Target)
     if isinstance(wire, BadRow):
         return wire
     if not _is_address(wire.address):
-        return BadRow("address of another form")
+        return BadRow("the address is not an IPv4 address and a port")
     return Target(
         id=f"{id}@{wire.born}" if wire.born else id,
         service=wire.service,
@@ -229,7 +235,7 @@
         IPv4Address(host)
     except AddressValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port[:6]) <= MOST_PORT
+    return port.isascii() and port.isdigit() and 0 < int(port[:6]) <= MAX_PORT
 
 
 def decode_version(value: bytes) -> int | BadRow:
@@ -245,7 +251,7 @@
 
 
 def encode_retire_status(done: bool) -> bytes:
-    """Return the row that tells the operator how far the emptying is."""
+    """Return the row that tells the operator whether the machine is emptied."""
     return msgspec.json.encode({"state": "completed" if done else "running"})
 
 
@@ -261,7 +267,7 @@
 
 def _route(wire: _Route) -> Route:
     shares = tuple(
-        ServiceShare(part.service, part.weight) for part in wire.traffic_split
+        ServiceShare(split.service, split.weight) for split in wire.traffic_split
     )
     return Route(
         name=wire.name,
--- a/src/wigeonfront/platform/target_calls.py
+++ b/src/wigeonfront/platform/target_calls.py
@@ -1,4 +1,4 @@
-"""How the platform's targets are called, as a `forwarding.TargetProtocol`."""
+"""Wire protocol of the platform's targets: a `forwarding.TargetProtocol`."""
 
 from dataclasses import replace
 
@@ -10,16 +10,18 @@
 
 MISDIRECTED = 421
 LOWEST_PRIORITY = 9
+"""Largest number that a priority header may have; 0 is the most urgent."""
+
 _REFUSALS = frozenset((400, 429, 503))
 
 
 class PlatformTargets:
-    """Headers of requests to targets, and the meaning of those of their answers."""
+    """Sets the headers of requests to targets and interprets their answers."""
 
-    version_field = names.VERSION_LINE
+    version_field = names.VERSION_FIELD
 
     def resumed(self, request: ForwardRequest, after: int) -> ForwardRequest:
-        """Return the request that goes on behind event `after`."""
+        """Return the request that resumes the stream after event `after`."""
         kept = tuple(
             (name, value)
             for name, value in request.headers
@@ -28,7 +30,7 @@
         return replace(request, headers=(*kept, (names.LAST_EVENT_ID, str(after))))
 
     def resume_point(self, request: ForwardRequest) -> int:
-        """Return the event behind which the caller itself asks to go on."""
+        """Return the event after which the caller asks to resume; 0 for the start."""
         for name, value in request.headers:
             if name.lower() == names.LAST_EVENT_ID.lower() and value.isdigit():
                 return int(value)
@@ -53,20 +55,20 @@
         return sent
 
     def not_executed(self, status: int, headers: HTTPHeaderDict) -> bool:
-        """Tell whether the answer says that the request did not run."""
+        """Return whether the answer says that the request did not run."""
         if status == MISDIRECTED:
             return True
         return status in _REFUSALS and names.NOT_EXECUTED in headers
 
     def replaced(self, status: int) -> bool:
-        """Tell whether another incarnation than the one that was meant answered."""
+        """Return whether an incarnation other than the intended one answered."""
         return status == MISDIRECTED
 
     def belongs(self, request: ForwardRequest, headers: HTTPHeaderDict) -> bool:
-        """Tell whether the answer is that of a target to this request.
+        """Return whether a target sent the answer in response to this request.
 
-        A target repeats the attempt's id and seals its answer; bodies are asked for
-        without an encoding.
+        A target repeats the attempt's id and sets the seal header. Requests ask for
+        bodies without a content encoding, so no target answers with one.
         """
         return (
             headers.get(names.ATTEMPT_ID) == request.id
@@ -75,7 +77,7 @@
         )
 
     def response_headers(self, headers: HTTPHeaderDict) -> Headers:
-        """Return the headers of the answer that the caller gets."""
+        """Return those headers of the answer that are passed on to the caller."""
         dropped = names.HOP_BY_HOP | names.FRAMING
         return tuple(
             (name, value)
@@ -85,12 +87,13 @@
 
 
 def forwarded_headers(headers: Headers, keyed: bool = False) -> Headers:
-    """Return a caller's headers without those that concern one connection.
+    """Return a caller's headers without those that apply to one connection.
 
     Parameters
     ----------
+    headers : tuple of (str, str)
     keyed : bool
-        Calls bring API keys, which targets must not see.
+        Whether calls carry API keys. Targets must not see them.
     """
     dropped = set(names.HOP_BY_HOP) | {"content-length"}
     if keyed:
