--- a/src/wigeonfront/http/__init__.py
+++ b/src/wigeonfront/http/__init__.py
@@ -1,5 +1,6 @@
-"""HTTP by library: servers over cheroot (`raw`), calls over urllib3 (`client`).
+"""HTTP servers over cheroot (`raw`) and HTTP calls over urllib3 (`client`).
 
-`pools` keeps connections to several addresses, `threads` the threads of a server. It
-starts no tasks.
+`pools` keeps the connections to several addresses, `threads` the threads of a server,
+`encoding` encodes bodies, and `sockets` defines socket options. The package starts no
+tasks.
 """
--- a/src/wigeonfront/http/client.py
+++ b/src/wigeonfront/http/client.py
@@ -1,4 +1,4 @@
-"""Calls over urllib3, whose ends are values; nothing is repeated here."""
+"""Calls over urllib3 that return every outcome as a value and are never retried."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -16,7 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole HTTP answer."""
+    """A complete HTTP answer.
+
+    Attributes
+    ----------
+    status : int
+        HTTP status.
+    body : bytes
+    retry_after : float
+        Seconds in the ``Retry-After`` header; 0 if there is none.
+    """
 
     status: int
     body: bytes
@@ -25,13 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """The call certainly did not reach the other end.
+    """The call certainly did not reach the server.
 
     Attributes
     ----------
     reason : str
     refused : bool
-        The other machine answered that nothing listens there.
+        Whether no connection could be opened because the other machine refused it:
+        nothing listens at the address.
     """
 
     reason: str
@@ -40,22 +50,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """The call was sent at least in part and no whole answer came."""
+    """At least a part of the call was sent, and no complete answer arrived."""
 
     reason: str
 
 
 class Pool:
-    """Connections to one address, without any automatic retry.
+    """Pool of connections to one address. Calls are not retried.
 
     Parameters
     ----------
     address : str
         ``host:port``, or a URL.
     connect_seconds, read_seconds : float
-        Longest silence while connecting and while reading.
+        Longest wait without data while connecting and while reading.
     size : int
-        Idle connections kept.
+        Largest number of idle connections.
     """
 
     def __init__(
@@ -74,7 +84,7 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` of the other end."""
+        """``host:port`` of the server."""
         return f"{self._host}:{self._port}"
 
     def _make_pool(self) -> urllib3.HTTPConnectionPool:
@@ -83,7 +93,7 @@
         )
 
     def reset(self) -> None:
-        """Forget every connection; the next call opens a new one."""
+        """Drop every connection; the next call opens a new one."""
         old, self._pool = self._pool, self._make_pool()
         old.close()
 
@@ -99,15 +109,26 @@
         headers: dict[str, str] | None = None,
         timeout: float | None = None,
     ) -> Answer | NotSent | Unanswered:
-        """Make one call and return its end as a value."""
-        read = self._read_seconds if timeout is None else timeout
+        """Make one call and return its outcome.
+
+        Parameters
+        ----------
+        method, path : str
+        body : bytes or object, optional
+            An object that is not bytes is sent as JSON.
+        headers : dict of str to str, optional
+        timeout : float, optional
+            Longest wait without data while reading, in seconds, in place of the
+            pool's.
+        """
+        read_seconds = self._read_seconds if timeout is None else timeout
         try:
-            response = self._request(method, path, body, headers, read)
+            response = self._request(method, path, body, headers, read_seconds)
         except (NewConnectionError, ConnectTimeoutError, NameResolutionError) as error:
             return _not_sent(error)
         except (HTTPError, OSError) as error:
             return Unanswered(type(error).__name__)
-        retry_after = _seconds(response.headers.get("Retry-After", ""))
+        retry_after = _retry_after_seconds(response.headers.get("Retry-After", ""))
         return Answer(response.status, response.data, retry_after)
 
     def _request(
@@ -139,7 +160,7 @@
     return NotSent(type(error).__name__, isinstance(error, NewConnectionError))
 
 
-def _seconds(text: str) -> float:
+def _retry_after_seconds(text: str) -> float:
     try:
         return max(0.0, float(text))
     except ValueError:
--- a/src/wigeonfront/http/encoding.py
+++ b/src/wigeonfront/http/encoding.py
@@ -1,4 +1,4 @@
-"""Bodies as JSON, and addresses as text."""
+"""Encodes JSON bodies and parses addresses."""
 
 from typing import Any
 
@@ -15,6 +15,12 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``host:port``."""
+    """Return the host and the port of ``host:port``.
+
+    Raises
+    ------
+    ValueError
+        If the port is not a number.
+    """
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/src/wigeonfront/http/pools.py
+++ b/src/wigeonfront/http/pools.py
@@ -1,4 +1,4 @@
-"""Connections to several addresses, such as those of the system's other processes."""
+"""Connection pools for several addresses, such as the system's other processes."""
 
 import threading
 
@@ -6,12 +6,12 @@
 
 
 class Pools:
-    """A pool of connections for each address that was called.
+    """One connection pool for each address that was called.
 
     Parameters
     ----------
     connect_seconds : float
-        Longest silence while connecting.
+        Longest wait for a connection.
     """
 
     def __init__(self, connect_seconds: float) -> None:
@@ -22,7 +22,7 @@
     def post(
         self, address: str, path: str, body: bytes, timeout: float
     ) -> Answer | NotSent | Unanswered:
-        """Post `body` to `path` at `address`; wait `timeout` seconds for the answer."""
+        """Post `body` to `path` at `address`, with a read timeout in seconds."""
         return self._pool(address).call("POST", path, body, timeout=timeout)
 
     def _pool(self, address: str) -> Pool:
--- a/src/wigeonfront/http/raw.py
+++ b/src/wigeonfront/http/raw.py
@@ -1,8 +1,8 @@
-"""A cheroot server whose handlers see requests and answers as they are on the wire.
+"""A cheroot server that passes requests and answers through as they are on the wire.
 
-The request target, the headers and the body reach the handler undecoded, because a
-forwarded request must arrive at its target byte for byte. A handler answers once,
-with `RawCall.reply`, or in pieces, with `RawCall.begin` and `RawCall.write`.
+The handler gets the request target, the headers and the body undecoded, because a
+forwarded request must arrive at its target byte for byte. A handler answers at once
+with `RawCall.reply`, or piece by piece with `RawCall.begin` and `RawCall.write`.
 """
 
 import logging
@@ -21,15 +21,16 @@
 logger = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 512
-"""Connections that wait to be accepted; a full queue drops the opening packet, which
+"""Connections that may wait to be accepted. A full queue drops the SYN packet, which
 the caller sends again only after seconds."""
 
 CLOSE_SLACK_SECONDS = 1.0
-"""Time beyond that of the calls in which the pool's threads end."""
+"""Time for the threads of the pool to end after the time that calls get to end."""
 
-KEPT_CONNECTIONS = 256
-"""Idle connections that are kept open for their callers' next calls; each takes some
-20 KB. The library's default is 10, beyond which each call would be a new connection."""
+MAX_IDLE_CONNECTIONS = 256
+"""Idle connections that are kept open for the next calls of their callers. Each takes
+about 20 KB. With the library's default of 10, each call of further callers would need a
+new connection."""
 
 DEFAULT_IDLE_SECONDS = 15.0
 DEFAULT_HEADER_BYTES = 64 * 1024
@@ -38,24 +39,24 @@
 
 
 class BodyTooLarge(Exception):  # noqa: N818
-    """The request's body is longer than the handler accepts."""
+    """The body of the request is longer than the handler accepts."""
 
 
 class BodyCutOff(Exception):  # noqa: N818
-    """The caller closed, or broke the framing, before the body's end."""
+    """The caller closed the connection, or broke the framing, within the body."""
 
 
 class _HeaderReader(cheroot_server.HeaderReader):
-    """Joins a repeated ``Authorization``, of which the library keeps the last one."""
+    """Joins repeated ``Authorization`` headers; the library keeps only the last one."""
 
     def __call__(
         self, rfile: object, hdict: dict[bytes, bytes] | None = None
     ) -> dict[bytes, bytes]:
         """Read the headers into `hdict`."""
-        found = _RepeatedHeaders()
-        super().__call__(rfile, found)
+        joined = _RepeatedHeaders()
+        super().__call__(rfile, joined)
         headers = {} if hdict is None else hdict
-        headers.update(found)
+        headers.update(joined)
         return headers
 
 
@@ -75,13 +76,13 @@
 
 
 class RawCall:
-    """One request on the server and the means to answer it.
+    """One request to the server, and the methods to answer it.
 
     Parameters
     ----------
     request : cheroot.server.HTTPRequest
     closing : callable
-        Returns whether connections are to be closed after their answer.
+        Returns whether connections are to be closed after the current answer.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
         self._request = request
         self._closing = closing
         self._answer_started = False
-        self._read = False
+        self._body_read = False
         self.headers: Headers = tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in request.inheaders.items()
@@ -99,57 +100,57 @@
 
     @property
     def method(self) -> str:
-        """The method."""
+        """The HTTP method."""
         return self._request.method.decode("latin-1")
 
     @property
     def target(self) -> str:
-        """The request target as it was sent: path and query, undecoded."""
+        """The request target as it was sent: path and query, not decoded."""
         return self._request.uri.decode("latin-1")
 
     @property
     def path(self) -> str:
-        """The path of the target, undecoded and without its query."""
+        """The path of the request target, not decoded and without the query."""
         return self.target.partition("?")[0]
 
     @property
     def query(self) -> str:
-        """The query of the target, undecoded."""
+        """The query of the request target, not decoded."""
         return self.target.partition("?")[2]
 
     @property
     def socket(self) -> socket.socket:
-        """The caller's connection."""
+        """The socket of the caller's connection."""
         return self._request.conn.socket
 
     @property
     def answer_started(self) -> bool:
-        """Whether a part of the answer was sent."""
+        """Whether the handler has started to send the answer."""
         return self._answer_started
 
     def header(self, name: str) -> str:
-        """Return a header's value, or an empty string."""
+        """Return the value of a header, or an empty string if it is missing."""
         return self._by_name.get(name.lower(), "")
 
-    def body(self, most: int) -> bytes:
-        """Return the whole body.
+    def body(self, max_bytes: int) -> bytes:
+        """Return the complete body.
 
         Raises
         ------
         BodyTooLarge
-            When it is longer than `most` bytes.
+            If the body is longer than `max_bytes`.
         BodyCutOff
-            When its end never came.
+            If the end of the body did not arrive.
         """
-        self._read = True
+        self._body_read = True
         length = int(self.header("Content-Length") or 0)
-        if length > most:
+        if length > max_bytes:
             raise BodyTooLarge
         try:
             body = self._request.rfile.read(None if self._is_chunked else length)
         except (OSError, ValueError) as error:
             raise BodyCutOff(str(error)) from error
-        if len(body) > most:
+        if len(body) > max_bytes:
             raise BodyTooLarge
         if len(body) < length:
             raise BodyCutOff
@@ -162,7 +163,7 @@
     def reply(
         self, status: int, body: bytes = b"", headers: Iterable[tuple[str, str]] = ()
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self.begin(status, (*headers, ("Content-Length", str(len(body)))))
         if body and self.method != "HEAD":
             self._request.write(body)
@@ -170,18 +171,21 @@
     def reply_json(
         self, status: int, message: object, headers: Iterable[tuple[str, str]] = ()
     ) -> None:
-        """Send `message` as JSON."""
+        """Send a complete answer with `message` as JSON."""
         self.reply(status, encode(message), (*headers, ("Content-Type", JSON_TYPE)))
 
     def begin(self, status: int, headers: Iterable[tuple[str, str]]) -> None:
-        """Send the status and the headers; without a length the body is chunked."""
+        """Send the status and the headers.
+
+        Without a ``Content-Length`` header the body is chunked.
+        """
         request = self._request
         request.status = f"{status} {_reason(status)}".encode("latin-1")
         request.outheaders = [
             (name.encode("latin-1"), value.encode("latin-1")) for name, value in headers
         ]
-        unread = self._is_chunked and not self._read
-        # What is left of a body must not be taken for the next request.
+        unread = self._is_chunked and not self._body_read
+        # The unread rest of a body must not be parsed as the next request.
         if self._closing() or unread or status in (400, 408, 413, 431):
             request.close_connection = True
         self._answer_started = True
@@ -189,15 +193,16 @@
         request.send_headers()
 
     def write(self, piece: bytes) -> None:
-        """Send a piece of the body now."""
+        """Send a piece of the body at once."""
         if piece:
             self._request.write(piece)
 
     def abort(self) -> None:
-        """Cut the connection, so that what was sent does not look complete."""
+        """Close the connection so that the answer does not look complete."""
         self._request.close_connection = True
         self._request.chunked_write = False
-        # Nothing more is to be sent, not even a head that has not been sent yet.
+        # Keeps the library from sending anything more, even a status line and headers
+        # that have not been sent yet.
         self._request.sent_headers = True
         try:
             self.socket.shutdown(socket.SHUT_RDWR)
@@ -216,18 +221,18 @@
 
 
 class RawServer:
-    """A server of `RawCall`, with a pool of threads of its own.
+    """An HTTP server that answers each `RawCall` in a thread of its own pool.
 
     Parameters
     ----------
     address : str
         ``host:port`` to listen on.
     handler : callable
-        Answers each call; an error that it raises is answered with 500.
+        Answers each call. If it raises an exception, the server answers with 500.
     threads : int
-        Most calls served at once.
-    kept : int
-        Most idle connections that are kept open.
+        Largest number of calls that are served at once.
+    max_idle : int
+        Largest number of idle connections that are kept open.
     """
 
     def __init__(
@@ -235,7 +240,7 @@
         address: str,
         handler: RawHandler,
         threads: int,
-        kept: int = KEPT_CONNECTIONS,
+        max_idle: int = MAX_IDLE_CONNECTIONS,
     ) -> None:
         self._handler = handler
         self._close_connections = False
@@ -244,7 +249,7 @@
         )
         self._server.ConnectionClass = _Connection
         self._server.request_queue_size = LISTEN_BACKLOG
-        self._server.keep_alive_conn_limit = kept
+        self._server.keep_alive_conn_limit = max_idle
         self._server.timeout = DEFAULT_IDLE_SECONDS
         self._server.shutdown_timeout = STOP_SECONDS
         self._server.max_request_header_size = DEFAULT_HEADER_BYTES
@@ -253,11 +258,11 @@
         self._server.error_log = _log_server_error
 
     def _make_gateway(self) -> type[cheroot_server.Gateway]:
-        outer = self
+        server = self
 
         class _Gateway(cheroot_server.Gateway):
             def respond(self) -> None:
-                outer._serve(self.req)
+                server._serve(self.req)
 
         return _Gateway
 
@@ -266,7 +271,7 @@
         try:
             self._handler(call)
         except (OSError, BodyCutOff) as error:
-            # The caller's connection broke; there is nobody to answer.
+            # The caller's connection is lost, so no answer can be sent.
             call.abort()
             event(logger, "caller_lost", level=logging.DEBUG, detail=str(error))
         except Exception:
@@ -277,30 +282,36 @@
                 call.reply(500)
 
     def set_limits(self, idle_seconds: float, header_bytes: int) -> None:
-        """Set how long a connection may idle and how large its headers may be."""
+        """Set the idle timeout of connections and the size limit of headers."""
         self._server.timeout = idle_seconds
         self._server.max_request_header_size = header_bytes
 
     def bind(self) -> None:
-        """Listen; raises `OSError` when the address can't be had."""
+        """Listen on the address.
+
+        Raises
+        ------
+        OSError
+            If the address is not available.
+        """
         self._server.prepare()
 
     def run(self, stop: object) -> None:
-        """Serve until `close` is called (a supervisor's task)."""
+        """Serve until `close` is called; a task of a supervisor."""
         self._server.serve()
 
     def close_kept_alive(self) -> None:
-        """Close each connection after the answer to its present request."""
+        """Close each connection after the answer to its current request."""
         self._close_connections = True
 
     def close(self, seconds: float = STOP_SECONDS) -> None:
-        """Stop listening and end the pool, whose calls get `seconds` to end.
+        """Stop listening, and end the pool after calls had `seconds` to end.
 
-        The library waits for a call without bound; this does not.
+        The library's own stop waits for calls without a bound; this method does not.
         """
         close_all([self], seconds)
 
-    def _begin_close(self, seconds: float) -> threading.Thread:
+    def _start_close(self, seconds: float) -> threading.Thread:
         self._server.shutdown_timeout = seconds
         stopper = threading.Thread(target=self._server.stop, daemon=True)
         stopper.start()
@@ -308,11 +319,11 @@
 
 
 def close_all(servers: Iterable[RawServer], seconds: float) -> None:
-    """Close several servers at once, as `RawServer.close` does one.
+    """Close several servers concurrently, as `RawServer.close` closes one.
 
-    Each takes up to half a second to notice that it is closed.
+    Each server takes up to half a second to notice that it is to stop.
     """
-    stoppers = [server._begin_close(seconds) for server in servers]
+    stoppers = [server._start_close(seconds) for server in servers]
     deadline = time.monotonic() + seconds + CLOSE_SLACK_SECONDS
     for stopper in stoppers:
         stopper.join(max(0.0, deadline - time.monotonic()))
--- a/src/wigeonfront/http/sockets.py
+++ b/src/wigeonfront/http/sockets.py
@@ -1,10 +1,11 @@
-"""Options of sockets."""
+"""Socket options."""
 
 import socket
 import struct
 
 NO_DELAY = (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-"""What is written goes out at once."""
+"""Written data is sent at once."""
 
 RESET_ON_CLOSE = (socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-"""What was sent and has not arrived is dropped, wherever the network holds it."""
+"""Closing the socket resets the connection: data that was sent and has not arrived is
+dropped, wherever the network holds it."""
--- a/src/wigeonfront/http/threads.py
+++ b/src/wigeonfront/http/threads.py
@@ -1,4 +1,4 @@
-"""A pool of threads that grows as calls come."""
+"""A thread pool that grows with the number of concurrent calls."""
 
 import threading
 from typing import Any
@@ -7,67 +7,79 @@
 from cheroot.workers.threadpool import ThreadPool
 
 STOP_SECONDS = 5.0
-"""Time that calls get to end when the pool stops."""
+"""Time that calls in progress get to end when the pool stops."""
 
 SPARE_THREADS = 8
-"""Idle threads that a pool keeps, so that a call need not wait for one to start."""
+"""Idle threads that a pool keeps so that calls do not wait for a thread to start."""
 
 POOL_CHECK_SECONDS = 10.0
-"""Pause between two looks whether threads are to spare."""
+"""Interval between checks for idle threads that are not needed."""
 
 
 class ThreadPoolOnDemand(ThreadPool):
-    """A pool that starts threads when few are idle, and ends them some time later.
+    """A pool that starts threads when few are idle and ends unneeded ones later.
 
-    A thread that was never used holds 17 KiB, so that a pool of its full size would
-    take a seventh of the memory that an entry may use.
+    A thread that was never used takes 17 KiB, so a pool that always had its full size
+    would take a seventh of the memory that an entry may use.
 
-    All its threads are daemons, whichever thread starts it: a process whose server
-    was not closed would otherwise wait for them for ever when it ends.
+    All threads of the pool are daemons, whichever thread starts the pool. Otherwise a
+    process whose server was not closed would wait for them forever at its end.
+
+    Parameters
+    ----------
+    server : cheroot.server.HTTPServer
+    max_threads : int
+        Largest number of threads.
     """
 
-    def __init__(self, server: cheroot_server.HTTPServer, most: int) -> None:
-        super().__init__(server, min=min(SPARE_THREADS, most), max=most)
-        self._wake = threading.Event()
-        self._ending = False
+    def __init__(self, server: cheroot_server.HTTPServer, max_threads: int) -> None:
+        super().__init__(server, min=min(SPARE_THREADS, max_threads), max=max_threads)
+        self._resize_requested = threading.Event()
+        self._stopping = False
         self._started = threading.Event()
-        self._keeper = threading.Thread(target=self._keep, daemon=True)
+        self._resizer = threading.Thread(target=self._start_and_resize, daemon=True)
 
     def start(self) -> None:
         """Start the first threads."""
-        self._keeper.start()
+        self._resizer.start()
         self._started.wait()
 
     def put(self, obj: Any) -> None:
-        """Queue a connection that has a request to be read."""
+        """Queue a connection on which a request has arrived."""
         super().put(obj)
-        if self._spare < SPARE_THREADS:
-            self._wake.set()
+        if self._spare_threads < SPARE_THREADS:
+            self._resize_requested.set()
 
     def stop(self, timeout: float = STOP_SECONDS) -> None:
-        """End all threads."""
-        self._ending = True
-        self._wake.set()
-        self._keeper.join()
+        """End all threads; calls in progress get `timeout` seconds to end."""
+        self._stopping = True
+        self._resize_requested.set()
+        self._resizer.join()
         super().stop(timeout)
 
     @property
-    def _spare(self) -> int:
+    def _spare_threads(self) -> int:
         return self.idle - self.qsize
 
-    def _keep(self) -> None:
-        """Start the first threads, which are daemons as this one is; then adapt."""
+    def _start_and_resize(self) -> None:
+        """Start the first threads, then resize the pool until it stops.
+
+        Threads inherit being daemons from this one, which starts them.
+        """
         try:
             super().start()
         finally:
             self._started.set()
-        self._adapt()
-
-    def _adapt(self) -> None:
-        """Start threads when told to, as `grow` may wait; end some when idle."""
-        while not self._ending:
-            if self._wake.wait(POOL_CHECK_SECONDS):
-                self._wake.clear()
-                self.grow(max(0, SPARE_THREADS - self._spare))
+        self._resize_until_stopped()
+
+    def _resize_until_stopped(self) -> None:
+        """Start threads when `put` asks for it, and end some when many are idle.
+
+        `put` does not start them itself, because `grow` may block.
+        """
+        while not self._stopping:
+            if self._resize_requested.wait(POOL_CHECK_SECONDS):
+                self._resize_requested.clear()
+                self.grow(max(0, SPARE_THREADS - self._spare_threads))
             else:
-                self.shrink(max(0, self._spare - 2 * SPARE_THREADS))
+                self.shrink(max(0, self._spare_threads - 2 * SPARE_THREADS))
