--- a/tests/test_engine_calls.py
+++ b/tests/test_engine_calls.py
@@ -1,4 +1,4 @@
-"""Orders to an engine, against a stand-in."""
+"""Orders to an engine, sent to a stand-in of an engine."""
 
 import socket
 import threading
@@ -16,29 +16,30 @@
 
 @pytest.fixture
 def engine():
-    made = Engine(free_address(), "e1", {MODEL: 1}, events=10)
-    made.faults.event_seconds = 0.03
-    made.start()
-    yield made
-    made.stop()
+    engine = Engine(free_address(), "e1", {MODEL: 1}, events=10)
+    engine.faults.event_seconds = 0.03
+    engine.start()
+    yield engine
+    engine.stop()
 
 
-def generate(engine, answers):
+def generate(engine, statuses):
+    """Generate a sample and append the status of the answer."""
     pool = Pool(engine.address)
-    fields = {"Wigeonfront-Model": MODEL, "Wigeonfront-Attempt-Id": "s"}
-    answers.append(pool.call("POST", "/x", b"", fields, timeout=4.0).status)
+    headers = {"Wigeonfront-Model": MODEL, "Wigeonfront-Attempt-Id": "s"}
+    statuses.append(pool.call("POST", "/x", b"", headers, timeout=4.0).status)
     pool.close()
 
 
 @pytest.mark.parametrize(("id", "answer"), [("e1", "accepted"), ("e0", "status 421")])
-def test_an_order_reaches_only_the_engine_that_it_is_meant_for(engine, id, answer):
+def test_only_the_engine_with_the_expected_id_accepts_an_order(engine, id, answer):
     calls = PlatformEngine(engine.address, "me", id)
     assert calls.move(MoveOrder(MODEL, 2, "1 behind"), 1, 0) == answer
     assert len(engine.orders) == (answer == "accepted")
 
 
-def test_an_order_that_was_given_up_is_withdrawn_from_the_network():
-    """The connection is reset, so that what a cut network holds is dropped."""
+def test_the_connection_of_an_order_that_timed_out_is_reset():
+    """The reset drops what an interrupted network still holds of the order."""
     listener = socket.create_server(("127.0.0.1", 0))
     host, port = listener.getsockname()
     calls = PlatformEngine(f"{host}:{port}", "me")
@@ -55,18 +56,18 @@
 
 
 @pytest.mark.parametrize(
-    ("keep_runs", "at_once"), [(True, [200, 200]), (False, [503, 200])]
+    ("keep_runs", "expected"), [(True, [200, 200]), (False, [503, 200])]
 )
-def test_runs_go_on_or_end_before_the_weights_change(engine, keep_runs, at_once):
+def test_runs_continue_or_finish_before_a_weight_change(engine, keep_runs, expected):
     calls = PlatformEngine(engine.address, "me")
-    answers = []
-    first = threading.Thread(target=generate, args=(engine, answers))
+    statuses = []
+    first = threading.Thread(target=generate, args=(engine, statuses))
     first.start()
     wait_for(lambda: engine.running == 1)
     order = MoveOrder(MODEL, 2, "1 behind", keep_runs)
     assert calls.move(order, fence=1, expected=0) == "accepted"
     assert calls.report().loading
-    generate(engine, answers)
+    generate(engine, statuses)
     first.join()
-    assert sorted(answers, reverse=True) == sorted(at_once, reverse=True)
+    assert sorted(statuses, reverse=True) == sorted(expected, reverse=True)
     wait_for(lambda: calls.report().versions == {MODEL: 2})
--- a/tests/test_http_raw.py
+++ b/tests/test_http_raw.py
@@ -1,3 +1,5 @@
+"""The HTTP server: aborted calls, failing handlers and idle connections."""
+
 import socket
 import threading
 
@@ -16,16 +18,19 @@
 
 
 def lose_caller(call):
+    """Fail as a handler whose caller closes the connection."""
     raise ConnectionResetError
 
 
 @pytest.fixture
 def errors(monkeypatch):
-    seen = []
+    messages = []
     monkeypatch.setattr(
-        raw, "_log_server_error", lambda message="", *rest, **more: seen.append(message)
+        raw,
+        "_log_server_error",
+        lambda message="", *rest, **more: messages.append(message),
     )
-    return seen
+    return messages
 
 
 @pytest.mark.parametrize(
@@ -36,9 +41,7 @@
         (lose_caller, Unanswered),
     ],
 )
-def test_a_call_that_is_cut_off_has_no_answer_and_is_no_error(
-    errors, handler, expected
-):
+def test_an_aborted_call_has_no_answer_and_logs_no_error(errors, handler, expected):
     server = serve(handler)
     answer = Pool(server.address).call("GET", "/x", timeout=2.0)
     server.stop()
@@ -46,7 +49,7 @@
     assert [message for message in errors if message] == []
 
 
-def test_a_handler_that_fails_is_answered_with_500():
+def test_a_failing_handler_answers_with_500():
     def fail(call):
         raise KeyError("x")
 
@@ -55,7 +58,7 @@
     server.stop()
 
 
-def test_a_call_that_is_cut_in_its_body_is_no_error(caplog):
+def test_a_body_that_is_cut_off_logs_no_handler_error(caplog):
     served = threading.Event()
 
     def read(call):
@@ -73,12 +76,12 @@
     assert "handler_failed" not in caplog.text
 
 
-def test_many_callers_keep_their_connections():
-    """More than the ten that the library keeps by default."""
-    seen = set()
+def test_idle_connections_of_many_callers_stay_open():
+    """By default the library keeps only ten idle connections."""
+    peers = set()
 
     def answer(call):
-        seen.add(call.socket.getpeername())
+        peers.add(call.socket.getpeername())
         call.reply(200)
 
     server = serve(answer)
@@ -86,7 +89,7 @@
     for _ in range(3):
         for pool in pools:
             assert pool.call("GET", "/x").status == 200
-    assert len(seen) == 60
+    assert len(peers) == 60
     for pool in pools:
         pool.close()
     server.stop()
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -1,4 +1,8 @@
-"""Random walks over ownership, configuration and the ends of forwarded requests."""
+"""State machines and random scripts: ownership, configuration, forwarded requests.
+
+They check invariants over random sequences of events, such as kills, late reads of rows
+and failed sends.
+"""
 
 from dataclasses import replace
 
@@ -37,14 +41,14 @@
 
 
 class Owner:
-    """An entry with what it last heard, which may be old."""
+    """An entry and its last view of the rows, which may be out of date."""
 
     def __init__(self, name, number):
         self.member = Member(name, f"{name}.{number}", f"{name}:1")
         self.heads = {}
         self.members = []
         self.missing_since = {}
-        # Head revision of each Lot that it runs.
+        # Revision of the head of each Lot that the entry runs.
         self.owned = {}
 
     @property
@@ -52,8 +56,8 @@
         return self.member.incarnation
 
 
-class Ownership(RuleBasedStateMachine):
-    """Entries start, die, hear late and claim; the store decides."""
+class OwnershipMachine(RuleBasedStateMachine):
+    """Entries start, are killed, read rows late and claim Lots."""
 
     def __init__(self):
         super().__init__()
@@ -74,16 +78,16 @@
         self.owners[name] = Owner(name, self.started)
 
     @rule(name=st.sampled_from(MACHINES))
-    def machine_is_killed_and_starts_again(self, name):
+    def kill_and_restart(self, name):
         self.start(name)
 
     @rule(name=st.sampled_from(MACHINES), heads=st.booleans(), members=st.booleans())
-    def hears(self, name, heads, members):
+    def update_view(self, name, heads, members):
         owner = self.owners[name]
         if heads:
             owner.heads = {lot: self.repository.head(lot) for lot in LOTS}
         if members:
-            owner.members = [one.member for one in self.owners.values()]
+            owner.members = [other.member for other in self.owners.values()]
         live = {member.incarnation for member in owner.members}
         gone = {head.owner for head in owner.heads.values()} - live
         since = owner.missing_since
@@ -93,11 +97,11 @@
                 del owner.owned[lot]
 
     @rule(seconds=st.sampled_from((0.2, 1.0, 2.0)))
-    def time_passes(self, seconds):
+    def advance_time(self, seconds):
         self.now += seconds
 
     @rule(name=st.sampled_from(MACHINES))
-    def claims(self, name):
+    def claim(self, name):
         owner = self.owners[name]
         lots = claimable_lots(
             owner.heads,
@@ -118,7 +122,7 @@
                 owner.owned[lot] = outcome.revision
 
     @rule(name=st.sampled_from(MACHINES), lot=st.sampled_from(LOTS))
-    def hands_over(self, name, lot):
+    def hand_over(self, name, lot):
         owner = self.owners[name]
         revision = owner.owned.pop(lot, None)
         if revision is not None:
@@ -127,7 +131,7 @@
             )
 
     @rule(name=st.sampled_from(MACHINES), lot=st.sampled_from(LOTS))
-    def writes(self, name, lot):
+    def write_result(self, name, lot):
         owner = self.owners[name]
         if lot not in owner.owned:
             return
@@ -142,39 +146,41 @@
     def at_most_one_owner_can_write(self):
         for lot in LOTS:
             revision = self.repository.head(lot).revision
-            able = [
-                one for one in self.owners.values() if one.owned.get(lot) == revision
+            writers = [
+                owner
+                for owner in self.owners.values()
+                if owner.owned.get(lot) == revision
             ]
-            assert len(able) <= 1
+            assert len(writers) <= 1
 
     @invariant()
-    def what_was_written_stays(self):
+    def written_results_stay(self):
         for lot, results in self.written.items():
             assert self.repository.results(lot, 0) == results
 
     def teardown(self):
-        """Once all hear everything, each Lot has one living owner."""
+        """Check that each Lot has one live owner once all views are up to date."""
         for _ in range(2):
             for name in MACHINES:
-                self.hears(name, True, True)
+                self.update_view(name, True, True)
             self.now += GRACE
             for name in MACHINES:
-                self.hears(name, True, True)
-                self.claims(name)
+                self.update_view(name, True, True)
+                self.claim(name)
         live = {owner.id: owner for owner in self.owners.values()}
         for lot in LOTS:
             head = self.repository.head(lot)
             assert live[head.owner].owned[lot] == head.revision
 
 
-TestOwnership = Ownership.TestCase
+TestOwnership = OwnershipMachine.TestCase
 TestOwnership.settings = settings(
     max_examples=60, stateful_step_count=30, deadline=None
 )
 
 
-class OldMirror:
-    """Rows as of some moment, also one before what was heard last."""
+class StaleMirror:
+    """Rows at some moment, which may be before the rows that were read last."""
 
     def __init__(self, rows):
         self.rows = rows
@@ -183,8 +189,8 @@
         return MirrorState(self.rows, 0)
 
 
-class ConfigurationWalk(RuleBasedStateMachine):
-    """The operator writes, rows are heard of in any order, and nothing goes back."""
+class ConfigurationMachine(RuleBasedStateMachine):
+    """Rows are written, and read in any order; no version may go back."""
 
     def __init__(self):
         super().__init__()
@@ -200,50 +206,50 @@
         self.states.append(self.states[-1] | {key: Row(key, value, self.revision)})
 
     @rule(step=st.integers(1, 5))
-    def operator_writes(self, step):
+    def write_configuration(self, step):
         self.version += step
         value = deployment.configuration(self.version)
         self.write(records.CONFIGURATION_KEY, value)
 
     @rule(model=st.sampled_from("ab"))
-    def trainer_names_a_version(self, model):
+    def name_version(self, model):
         self.named += 1
         value = msgspec.json.encode({"model": model, "version": self.named})
         self.write(records.VERSION_PREFIX + model, value)
 
     @rule(value=st.sampled_from((b"", b"{", b"[]", b'{"version":"x"}')))
-    def rows_are_malformed(self, value):
+    def read_malformed_row(self, value):
         row = Row(records.CONFIGURATION_KEY, value, self.revision)
-        self.follower.take(OldMirror({records.CONFIGURATION_KEY: row}))
+        self.follower.take(StaleMirror({records.CONFIGURATION_KEY: row}))
 
     @rule(data=st.data())
-    def hears(self, data):
-        self.follower.take(OldMirror(data.draw(st.sampled_from(self.states))))
+    def read_rows(self, data):
+        self.follower.take(StaleMirror(data.draw(st.sampled_from(self.states))))
 
     @invariant()
-    def nothing_goes_back(self):
+    def versions_never_decrease(self):
         current = self.follower.current
         version = current.version if current else 0
         assert version >= self.in_force
         self.in_force = version
-        named = {one.model: one.version for one in self.follower.versions()}
+        named = {pair.model: pair.version for pair in self.follower.versions()}
         assert all(named[model] >= known for model, known in self.known.items())
         self.known = named
 
     def teardown(self):
-        """The newest is in force once it is heard of."""
-        self.follower.take(OldMirror(self.states[-1]))
+        """Check that the newest configuration is in force once it is read."""
+        self.follower.take(StaleMirror(self.states[-1]))
         row = self.states[-1].get(records.CONFIGURATION_KEY)
         if row is not None:
             assert self.follower.current.version == self.version
 
 
-TestConfigurationWalk = ConfigurationWalk.TestCase
-TestConfigurationWalk.settings = settings(max_examples=60, deadline=None)
+TestConfiguration = ConfigurationMachine.TestCase
+TestConfiguration.settings = settings(max_examples=60, deadline=None)
 
 
 class ScriptedExchange:
-    """Answers sends with outcomes in turn; each takes a part of the time left."""
+    """Answers sends with scripted outcomes; each takes a share of the time left."""
 
     def __init__(self, clock, script):
         self.clock = clock
@@ -298,38 +304,38 @@
     repeatable=st.booleans(),
     attempts=st.integers(1, 3),
 )
-def test_every_end_of_a_request_is_one_that_its_sends_allow(
+def test_the_end_of_a_request_fits_the_outcomes_of_its_sends(
     script, repeatable, attempts
 ):
     clock = ManualClock()
     exchange = ScriptedExchange(clock, script)
-    made = [Target(f"t{n}", "s", f"h:{n}", "z", 4) for n in range(5)]
-    forwarder, _, _ = make_forwarder_by(exchange, clock, made, "z")
+    targets = [Target(f"t{n}", "s", f"h:{n}", "z", 4) for n in range(5)]
+    forwarder, _, _ = make_forwarder_by(exchange, clock, targets, "z")
     kind = RouteKind.IDEMPOTENT if repeatable else RouteKind.NON_IDEMPOTENT
     share = (ServiceShare("s", 1.0),)
     route = Route("r", "h", "/", kind, share, 1.5, 0.2, attempts)
     request = ForwardRequest("r1", "POST", "/", (), b"", repeatable, "studio")
     end = forwarder.forward(request, route, 1.5, None)
     outcomes = [outcome for _, outcome in exchange.sent]
-    targets = [target for target, _ in exchange.sent]
-    ran = [one for one in outcomes if not isinstance(one, NotExecuted)]
+    used = [target for target, _ in exchange.sent]
+    ran = [outcome for outcome in outcomes if not isinstance(outcome, NotExecuted)]
     reached = [
-        one
-        for one in outcomes
-        if not (isinstance(one, NotExecuted) and one.status == 0)
+        outcome
+        for outcome in outcomes
+        if not (isinstance(outcome, NotExecuted) and outcome.status == 0)
     ]
     assert len(forwarder._starts.since(0.0)) == len(ran)
     assert clock.monotonic() <= 1.5
-    assert len(set(targets)) == len(targets)
+    assert len(set(used)) == len(used)
     assert len(reached) <= attempts
     if not repeatable:
         assert len(ran) <= 1
     if isinstance(end, ReturnAnswer):
-        answers = [one for one in outcomes if isinstance(one, Answered)]
+        answers = [outcome for outcome in outcomes if isinstance(outcome, Answered)]
         assert end.answer is answers[-1]
         if end.answer is not outcomes[-1]:
-            # An earlier answer is returned only once no target is left.
-            assert len(targets) == len(made)
+            # An earlier answer is returned only when no target is left.
+            assert len(used) == len(targets)
             assert repeatable or ran == answers
     elif isinstance(end, Fail):
         assert (end.status == 503) == (not ran)
--- a/tests/test_platform_records.py
+++ b/tests/test_platform_records.py
@@ -1,3 +1,5 @@
+"""Decoding of the platform's rows and of its settings file."""
+
 import json
 
 import msgspec
@@ -36,7 +38,7 @@
 """
 
 
-def test_a_configuration_is_decoded_into_our_own_words():
+def test_a_configuration_is_decoded():
     found = records.decode_configuration(deployment.configuration(7))
     assert found.version == 7
     kinds = {route.name: route.kind for route in found.routes}
@@ -54,14 +56,14 @@
 
 
 @pytest.mark.parametrize("kind", ["", "something new", "non_idempotent"])
-def test_an_unknown_kind_may_not_be_repeated(kind):
+def test_requests_of_an_unknown_kind_are_not_repeatable(kind):
     found = records.decode_configuration(deployment.configuration(kind=kind))
     assert found.routes[0].kind is RouteKind.NON_IDEMPOTENT
     assert not found.routes[0].repeatable
 
 
 @pytest.mark.parametrize("value", [b"", b"{", b"[]", b'{"version":"x"}', b"\xff\xfe"])
-def test_a_malformed_row_is_no_configuration(value):
+def test_a_malformed_row_is_a_bad_row_with_a_reason(value):
     for found in (
         records.decode_configuration(value),
         records.decode_target("i-1", value),
@@ -71,7 +73,8 @@
         assert found.reason
 
 
-def row(**changes):
+def registration_row(**changes):
+    """Return the row of a registration; a field changed to `MISSING` is left out."""
     fields = deployment.registration("s", "1.2.3.4:5") | changes
     return msgspec.json.encode(
         {name: value for name, value in fields.items() if value != MISSING}
@@ -82,17 +85,19 @@
 
 
 @pytest.mark.parametrize(("state", "draining"), [("ready", False), ("draining", True)])
-def test_a_target_takes_work_only_while_it_says_ready(state, draining):
-    assert records.decode_target("i-1", row(state=state)).draining is draining
+def test_a_target_drains_unless_its_state_is_ready(state, draining):
+    assert (
+        records.decode_target("i-1", registration_row(state=state)).draining is draining
+    )
 
 
-def test_a_start_is_part_of_a_targets_identity():
-    first = records.decode_target("i-1", row(born=1_700_000_000_000))
-    second = records.decode_target("i-1", row(born=1_700_000_000_001))
+def test_each_start_of_a_target_has_its_own_id():
+    first = records.decode_target("i-1", registration_row(born=1_700_000_000_000))
+    second = records.decode_target("i-1", registration_row(born=1_700_000_000_001))
     assert first.id != second.id
     assert first.name == second.name == "i-1"
     assert first.started_ms == 1_700_000_000_000
-    assert records.decode_target("i-1", row()).id == "i-1"
+    assert records.decode_target("i-1", registration_row()).id == "i-1"
 
 
 BAD_FIELDS = [
@@ -136,13 +141,15 @@
 
 
 @pytest.mark.parametrize("changes", BAD_FIELDS, ids=repr)
-def test_a_registration_of_another_writer_names_no_target(changes):
-    assert isinstance(records.decode_target("i-1", row(**changes)), records.BadRow)
+def test_a_registration_with_a_malformed_field_is_a_bad_row(changes):
+    assert isinstance(
+        records.decode_target("i-1", registration_row(**changes)), records.BadRow
+    )
 
 
 @pytest.mark.parametrize("id", ["", "a/b", "/a", "a/"])
-def test_a_registration_under_a_key_of_another_form_names_no_target(id):
-    assert isinstance(records.decode_target(id, row()), records.BadRow)
+def test_a_registration_under_a_malformed_id_is_a_bad_row(id):
+    assert isinstance(records.decode_target(id, registration_row()), records.BadRow)
 
 
 DEEP = b"[" * 100_000
@@ -175,7 +182,7 @@
         lambda value: decode_head(Row("live/lot/l", value, 1)),
     ],
 )
-def test_bytes_that_cannot_be_read_are_told_from_a_row(decode, value):
+def test_undecodable_bytes_are_no_row(decode, value):
     found = decode(value)
     assert found is None or isinstance(found, records.BadRow)
 
@@ -209,7 +216,7 @@
     ),
     st.text(max_size=5),
 )
-def test_any_row_is_decoded_or_told_why_not(value, id):
+def test_any_row_is_decoded_or_a_bad_row(value, id):
     target = records.decode_target(id, value)
     if not isinstance(target, records.BadRow):
         assert target.service and target.slots > 0
@@ -217,8 +224,8 @@
     assert isinstance(found, records.BadRow) or found.version is not None
     version = records.decode_version(value)
     assert isinstance(version, records.BadRow) or version >= 1
-    within = records.decode_retire(value)
-    assert isinstance(within, records.BadRow) or within >= 0
+    seconds = records.decode_retire(value)
+    assert isinstance(seconds, records.BadRow) or seconds >= 0
     decode_member(Row("live/entry/n", value, 1))
     decode_head(Row("live/lot/l", value, 1))
 
@@ -238,7 +245,7 @@
 @pytest.mark.parametrize(
     "text", ["", "node = 3", 'node = "a"\nip = "b"', "node = ", BOOT + "\nx"]
 )
-def test_a_bad_settings_file_is_named(tmp_path, text):
+def test_the_error_of_a_bad_settings_file_names_the_file(tmp_path, text):
     path = tmp_path / "local.toml"
     path.write_text(text)
     with pytest.raises(ValueError, match=r"local\.toml"):
--- a/tests/test_thread_pool.py
+++ b/tests/test_thread_pool.py
@@ -1,4 +1,4 @@
-"""A server's pool starts threads as calls need them, and ends them afterwards."""
+"""The thread pool of a server grows with concurrent calls and shrinks afterwards."""
 
 import threading
 import time
@@ -11,11 +11,11 @@
 from wigeonfront.http.raw import RawServer
 from wigeonfront.supervisor import Supervisor
 
-LONGEST_WAIT = 20.0
+MAX_WAIT_SECONDS = 20.0
 
 
 class Gate:
-    """A handler that holds its calls until it is opened."""
+    """A handler whose calls wait until the gate is opened."""
 
     def __init__(self):
         self.opened = threading.Event()
@@ -23,7 +23,7 @@
 
     def handle(self, call):
         self.reached.release()
-        self.opened.wait(LONGEST_WAIT)
+        self.opened.wait(MAX_WAIT_SECONDS)
         call.reply(200)
 
 
@@ -57,12 +57,14 @@
     return sum("CP Server" in thread.name for thread in threading.enumerate())
 
 
-def hold(address, calls):
-    """Start `calls` calls; return a function that waits for their answers."""
+def start_calls(address, calls):
+    """Start `calls` calls, and return a function that waits for their answers."""
     answers = []
 
     def call():
-        answers.append(Pool(address, read_seconds=LONGEST_WAIT).call("GET", "/held"))
+        answers.append(
+            Pool(address, read_seconds=MAX_WAIT_SECONDS).call("GET", "/held")
+        )
 
     threads = [threading.Thread(target=call) for _ in range(calls)]
     for thread in threads:
@@ -79,43 +81,43 @@
 @pytest.mark.parametrize(
     ("threads", "calls"), [(1, 1), (4, 4), (40, 8), (40, 9), (40, 40)]
 )
-def test_as_many_calls_run_at_once_as_the_pool_may_hold(serve, gate, threads, calls):
-    wait = hold(serve(threads), calls)
+def test_calls_up_to_the_thread_limit_run_at_once(serve, gate, threads, calls):
+    wait = start_calls(serve(threads), calls)
     for _ in range(calls):
-        assert gate.reached.acquire(timeout=LONGEST_WAIT)
+        assert gate.reached.acquire(timeout=MAX_WAIT_SECONDS)
     gate.opened.set()
     answers = wait()
     assert [type(answer) for answer in answers] == [Answer] * calls
 
 
-def test_a_call_beyond_the_pool_waits_and_is_answered(serve, gate):
-    wait = hold(serve(2), 3)
+def test_a_call_above_the_thread_limit_waits_and_is_answered(serve, gate):
+    wait = start_calls(serve(2), 3)
     for _ in range(2):
-        assert gate.reached.acquire(timeout=LONGEST_WAIT)
+        assert gate.reached.acquire(timeout=MAX_WAIT_SECONDS)
     gate.opened.set()
     assert [answer.status for answer in wait()] == [200] * 3
 
 
-def test_idle_threads_end(monkeypatch, serve, gate):
+def test_unneeded_idle_threads_end(monkeypatch, serve, gate):
     monkeypatch.setattr(thread_pool, "POOL_CHECK_SECONDS", 0.02)
     before = pool_threads()
-    wait = hold(serve(60), 50)
+    wait = start_calls(serve(60), 50)
     for _ in range(50):
-        assert gate.reached.acquire(timeout=LONGEST_WAIT)
+        assert gate.reached.acquire(timeout=MAX_WAIT_SECONDS)
     assert pool_threads() - before >= 50
     gate.opened.set()
     wait()
-    deadline = time.monotonic() + LONGEST_WAIT
+    deadline = time.monotonic() + MAX_WAIT_SECONDS
     while pool_threads() - before > 2 * thread_pool.SPARE_THREADS:
         assert time.monotonic() < deadline
         time.sleep(0.02)
 
 
-def test_threads_of_an_open_server_do_not_hold_the_process(serve, gate):
-    wait = hold(serve(4), 2)
+def test_threads_of_an_open_server_do_not_keep_the_process_alive(serve, gate):
+    wait = start_calls(serve(4), 2)
     for _ in range(2):
-        assert gate.reached.acquire(timeout=LONGEST_WAIT)
-    threads = [each for each in threading.enumerate() if "CP Server" in each.name]
+        assert gate.reached.acquire(timeout=MAX_WAIT_SECONDS)
+    threads = [thread for thread in threading.enumerate() if "CP Server" in thread.name]
     assert threads
     assert all(thread.daemon for thread in threads)
     gate.opened.set()
