--- a/src/wigeonfront/client/entries.py
+++ b/src/wigeonfront/client/entries.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from wigeonfront.clock import Clock
-from wigeonfront.http.client import Answer, Lost, NotSent, Pool
+from wigeonfront.http.client import Answer, NotSent, Pool, Unanswered
 
 GRACE_SECONDS = 0.5
 """Time after a deadline in which an answer that was sent at the deadline arrives."""
@@ -79,7 +79,7 @@
         body: Any,
         timeout: float,
         headers: dict[str, str] | None = None,
-    ) -> Answer | NotSent | Lost:
+    ) -> Answer | NotSent | Unanswered:
         """Call the entry whose turn it is.
 
         After a lost call, the connections to that entry are replaced by new ones.
@@ -97,7 +97,7 @@
         pool = self._pools[self._next]
         all_headers = self._account_headers | (headers or {})
         answer = pool.call(method, path, body, all_headers, max(0.001, timeout))
-        if isinstance(answer, Lost):
+        if isinstance(answer, Unanswered):
             pool.reset()
         return answer
 
--- a/src/wigeonfront/forwarding/streams.py
+++ b/src/wigeonfront/forwarding/streams.py
@@ -185,7 +185,7 @@
         self._fail(call, request, end)
 
     def _fail(self, call: RawCall, request: ForwardRequest, end: Fail) -> None:
-        if call.began:
+        if call.answer_started:
             call.abort()
             status = 0
         else:
@@ -237,7 +237,7 @@
             return (StreamEnd.REFUSED if refused else StreamEnd.BROKEN), last_id
         if opened.status != OK:
             return self._forward_error(opened, target.id, call), last_id
-        if not call.began:
+        if not call.answer_started:
             call.begin(OK, self._protocol.response_headers(opened.headers))
         ended, last_id = self._forward_events(opened, call, last_id, due, start)
         evidence = "success" if ended is StreamEnd.DONE else "failure"
@@ -266,7 +266,7 @@
             return StreamEnd.BROKEN
         server_error = opened.status >= SERVER_ERROR
         self._table.record_ended(target_id, "failure" if server_error else "success")
-        if call.began:
+        if call.answer_started:
             return StreamEnd.BROKEN
         call.reply(opened.status, body, self._protocol.response_headers(opened.headers))
         return StreamEnd.DONE
--- a/src/wigeonfront/http/pools.py
+++ b/src/wigeonfront/http/pools.py
@@ -1,17 +1,17 @@
-"""Connections to several addresses, such as those of the system's other processes."""
+"""Connection pools for several addresses, such as the system's other processes."""
 
 import threading
 
-from wigeonfront.http.client import Answer, Lost, NotSent, Pool
+from wigeonfront.http.client import Answer, NotSent, Pool, Unanswered
 
 
 class Pools:
-    """A pool of connections for each address that was called.
+    """One connection pool for each address that was called.
 
     Parameters
     ----------
     connect_seconds : float
-        Longest silence while connecting.
+        Longest wait for a connection.
     """
 
     def __init__(self, connect_seconds: float) -> None:
@@ -21,8 +21,8 @@
 
     def post(
         self, address: str, path: str, body: bytes, timeout: float
-    ) -> Answer | NotSent | Lost:
-        """Post `body` to `path` at `address`; wait `timeout` seconds for the answer."""
+    ) -> Answer | NotSent | Unanswered:
+        """Post `body` to `path` at `address`, with a read timeout in seconds."""
         return self._pool(address).call("POST", path, body, timeout=timeout)
 
     def _pool(self, address: str) -> Pool:
