--- a/src/wigeonfront/node/entry.py
+++ b/src/wigeonfront/node/entry.py
@@ -146,8 +146,8 @@
             self._store,
             self._registration,
             clock,
-            self._configuration.take,
-            self._targets.take,
+            self._configuration.update,
+            self._targets.update,
             self._on_live,
         )
         self._fleet = make_fleet(
--- a/src/wigeonfront/node/following.py
+++ b/src/wigeonfront/node/following.py
@@ -16,7 +16,7 @@
 
 logger = logging.getLogger(__name__)
 
-RETURN_SECONDS = 2.3
+REREGISTRATION_SECONDS = 2.3
 """How long a registration that vanished around an outage of the store is still held
 valid: targets that live are registered again within about two seconds."""
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._logged: dict[str, int] = {}
 
-    def note(self, row: Row, bad: records.BadRow) -> None:
+    def log_once(self, row: Row, bad: records.BadRow) -> None:
         """Log a row unless it was logged as it is now."""
         if self._logged.get(row.key) == row.revision:
             return
@@ -92,20 +92,20 @@
         """Return the newest version of each model."""
         return list(self._versions.values())
 
-    def take(self, mirror: Mirror) -> None:
+    def update(self, mirror: Mirror) -> None:
         """Take what the operator's rows say now."""
         state = mirror.state()
         row = state.rows.get(records.CONFIGURATION_KEY)
         if row is not None:
-            self._take_configuration(row)
+            self._update_configuration(row)
         for key, row in state.rows.items():
             if key.startswith(records.VERSION_PREFIX):
-                self._take_version(key.removeprefix(records.VERSION_PREFIX), row)
+                self._update_version(key.removeprefix(records.VERSION_PREFIX), row)
 
-    def _take_configuration(self, row: Row) -> None:
+    def _update_configuration(self, row: Row) -> None:
         new = records.decode_configuration(row.value, self._with_accounts)
         if isinstance(new, records.BadRow):
-            self._bad_rows.note(row, new)
+            self._bad_rows.log_once(row, new)
             return
         if self._current is not None and new.version <= self._current.version:
             return
@@ -119,10 +119,10 @@
         self._current = new
         self._on_configuration(new)
 
-    def _take_version(self, model: str, row: Row) -> None:
+    def _update_version(self, model: str, row: Row) -> None:
         version = records.decode_version(row.value)
         if isinstance(version, records.BadRow):
-            self._bad_rows.note(row, version)
+            self._bad_rows.log_once(row, version)
             return
         known = self._versions.get(model)
         if known is not None and version <= known.version:
@@ -171,7 +171,7 @@
         self._starts: dict[str, int] = {}
         self._bad_rows = BadRowLog()
 
-    def take(self, mirror: Mirror) -> None:
+    def update(self, mirror: Mirror) -> None:
         """Take what the targets' rows say now."""
         rows = mirror.state().rows
         with self._lock:
@@ -198,11 +198,11 @@
                 key.removeprefix(records.TARGET_PREFIX), row.value
             )
             if isinstance(target, records.BadRow):
-                self._bad_rows.note(row, target)
+                self._bad_rows.log_once(row, target)
                 continue
             if target.started_ms < self._starts.get(target.name, 0):
                 # The last words of an incarnation that has ended, written late.
-                self._bad_rows.note(row, records.BadRow("of an earlier start"))
+                self._bad_rows.log_once(row, records.BadRow("of an earlier start"))
                 if target.name not in known:
                     continue
                 target = known[target.name]
@@ -217,7 +217,7 @@
         with self._lock:
             waiting = bool(self._missing_since)
         if waiting:
-            self.take(mirror)
+            self.update(mirror)
 
     def _still_valid(
         self, registered: dict[str, Target], mirror: Mirror
@@ -230,9 +230,9 @@
         for id in gone:
             around_outage = (
                 mirror.failing
-                or self._missing_since[id] - mirror.regained_at < RETURN_SECONDS
+                or self._missing_since[id] - mirror.regained_at < REREGISTRATION_SECONDS
             )
-            back_by = max(self._missing_since[id], mirror.regained_at) + RETURN_SECONDS
+            back_by = max(self._missing_since[id], mirror.regained_at) + REREGISTRATION_SECONDS
             if around_outage and (mirror.failing or now < back_by):
                 kept[id] = self._known[id]
             else:
--- a/src/wigeonfront/node/side.py
+++ b/src/wigeonfront/node/side.py
@@ -69,7 +69,7 @@
             ),
             records.OPERATOR_PREFIX,
             clock,
-            self._follower.take,
+            self._follower.update,
             VERSION_PAUSE_SECONDS,
             VERSION_WATCH_SECONDS,
         )
--- a/src/wigeonfront/node/storage.py
+++ b/src/wigeonfront/node/storage.py
@@ -142,7 +142,7 @@
             return
         within = records.decode_retire(row.value)
         if isinstance(within, records.BadRow):
-            self._bad_rows.note(row, within)
+            self._bad_rows.log_once(row, within)
             return
         self._retired_at = row.revision
         if self._spool is not None:
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -214,11 +214,11 @@
     @rule(value=st.sampled_from((b"", b"{", b"[]", b'{"version":"x"}')))
     def rows_are_malformed(self, value):
         row = Row(records.CONFIGURATION_KEY, value, self.revision)
-        self.follower.take(OldMirror({records.CONFIGURATION_KEY: row}))
+        self.follower.update(OldMirror({records.CONFIGURATION_KEY: row}))
 
     @rule(data=st.data())
     def hears(self, data):
-        self.follower.take(OldMirror(data.draw(st.sampled_from(self.states))))
+        self.follower.update(OldMirror(data.draw(st.sampled_from(self.states))))
 
     @invariant()
     def nothing_goes_back(self):
@@ -232,7 +232,7 @@
 
     def teardown(self):
         """The newest is in force once it is heard of."""
-        self.follower.take(OldMirror(self.states[-1]))
+        self.follower.update(OldMirror(self.states[-1]))
         row = self.states[-1].get(records.CONFIGURATION_KEY)
         if row is not None:
             assert self.follower.current.version == self.version
--- a/tests/test_target_follower.py
+++ b/tests/test_target_follower.py
@@ -11,7 +11,7 @@
 from wigeonfront.coordination.feed import DirectRows
 from wigeonfront.coordination.mirror import Mirror
 from wigeonfront.node.following import (
-    RETURN_SECONDS,
+    REREGISTRATION_SECONDS,
     ConfigurationFollower,
     TargetFollower,
     replaced_targets,
@@ -35,7 +35,7 @@
             self.table, self.clock, lambda: None, self.gone.append
         )
         self.mirror = Mirror(
-            DirectRows(self.rows), records.TARGET_PREFIX, self.clock, self.follower.take
+            DirectRows(self.rows), records.TARGET_PREFIX, self.clock, self.follower.update
         )
 
     def register(self, id, port=5, **changes):
@@ -166,7 +166,7 @@
     rows.put("op/version/m", b'{"model":"m","version":3}')
     follower = ConfigurationFollower(ManualClock())
     mirror = Mirror(
-        DirectRows(rows), records.OPERATOR_PREFIX, ManualClock(), follower.take
+        DirectRows(rows), records.OPERATOR_PREFIX, ManualClock(), follower.update
     )
     assert mirror._list()
     rows.put("op/config", value)
@@ -186,7 +186,7 @@
         # While the store was away, just after it was back, and when all was well.
         (-1.0, True),
         (1.0, True),
-        (RETURN_SECONDS + 0.1, False),
+        (REREGISTRATION_SECONDS + 0.1, False),
     ],
 )
 def test_a_registration_that_lapses_around_an_outage_is_held_until_it_should_be_back(
@@ -207,7 +207,7 @@
         followed.rows.remove("servers/i-1")
         followed.look()
     assert followed.ids == ({"i-1"} if held else set())
-    followed.clock.advance(RETURN_SECONDS - 0.1)
+    followed.clock.advance(REREGISTRATION_SECONDS - 0.1)
     followed.follower.expire(followed.mirror)
     assert followed.ids == ({"i-1"} if held else set())
     followed.clock.advance(0.2)
@@ -222,7 +222,7 @@
     followed.rows.faults.down = False
     followed.rows.remove("servers/i-1")
     followed.look()
-    followed.clock.advance(RETURN_SECONDS - 0.1)
+    followed.clock.advance(REREGISTRATION_SECONDS - 0.1)
     followed.register("i-1")
     followed.clock.advance(1.0)
     followed.follower.expire(followed.mirror)
--- a/tests/test_target_follower_machine.py
+++ b/tests/test_target_follower_machine.py
@@ -12,7 +12,7 @@
 from wigeonfront.clock import ManualClock
 from wigeonfront.coordination.feed import DirectRows
 from wigeonfront.coordination.mirror import Mirror
-from wigeonfront.node.following import RETURN_SECONDS, TargetFollower
+from wigeonfront.node.following import REREGISTRATION_SECONDS, TargetFollower
 from wigeonfront.platform import records
 from wigeonfront.targets.table import TargetTable
 
@@ -33,7 +33,7 @@
         )
         self.follower = follower
         self.mirror = Mirror(
-            DirectRows(self.rows), records.TARGET_PREFIX, self.clock, follower.take
+            DirectRows(self.rows), records.TARGET_PREFIX, self.clock, follower.update
         )
         # What each target last was, as the test knows it; 0 for none.
         self.starts = dict.fromkeys(IDS, 0)
@@ -85,7 +85,7 @@
         self.written[id] = 0
         self._look()
 
-    @rule(seconds=st.sampled_from([0.4, RETURN_SECONDS + 0.1]))
+    @rule(seconds=st.sampled_from([0.4, REREGISTRATION_SECONDS + 0.1]))
     def time_passes(self, seconds):
         self.clock.advance(seconds)
         self.follower.expire(self.mirror)
