--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -347,15 +347,15 @@
     _mutation(
         "a sealed disk takes an earlier owner's results",
         "spool/contents.py",
-        "        if one is not None and call.fence < one.fence:",
+        "        if spooled is not None and call.fence < spooled.fence:",
         "        if False:",
         "test_spool.py",
     ),
     _mutation(
         "a later owner's results are joined to those of an earlier one",
         "spool/contents.py",
-        "call.fence == one.writer",
-        "call.fence == one.fence",
+        "call.fence == spooled.writer",
+        "call.fence == spooled.fence",
         "test_spool.py",
     ),
     _mutation(
--- a/src/wigeonfront/node/following.py
+++ b/src/wigeonfront/node/following.py
@@ -232,7 +232,10 @@
                 mirror.failing
                 or self._missing_since[id] - mirror.regained_at < REREGISTRATION_SECONDS
             )
-            back_by = max(self._missing_since[id], mirror.regained_at) + REREGISTRATION_SECONDS
+            back_by = (
+                max(self._missing_since[id], mirror.regained_at)
+                + REREGISTRATION_SECONDS
+            )
             if around_outage and (mirror.failing or now < back_by):
                 kept[id] = self._known[id]
             else:
--- a/src/wigeonfront/rollout/submissions.py
+++ b/src/wigeonfront/rollout/submissions.py
@@ -124,7 +124,7 @@
 
     def look(self) -> None:
         """Look at each submission once."""
-        held = self._file.held(KEY_PREFIX)
+        held = self._file.items_by_key(KEY_PREFIX)
         self._absent_since = {
             key: at for key, at in self._absent_since.items() if key in held
         }
--- a/src/wigeonfront/spool/client.py
+++ b/src/wigeonfront/spool/client.py
@@ -34,7 +34,7 @@
 ANSWER_SECONDS = 0.5
 """Longest wait for a member: many times what a slow disk takes to sync."""
 
-AVOID_SECONDS = 0.5
+FAILED_MEMBER_PAUSE_SECONDS = 0.5
 """How long a member that did not answer is not called again, so that one that is
 silent holds up its callers half of the time at most."""
 
@@ -126,7 +126,9 @@
         body = msgspec.msgpack.encode(request)
         answer = _decoded(self._pools.post(address, SPOOL_PATH, body, ANSWER_SECONDS))
         if isinstance(answer, Refused):
-            self._avoided[address] = self._clock.monotonic() + AVOID_SECONDS
+            self._avoided[address] = (
+                self._clock.monotonic() + FAILED_MEMBER_PAUSE_SECONDS
+            )
         return answer
 
     def _avoids(self, address: str) -> bool:
--- a/src/wigeonfront/spool/contents.py
+++ b/src/wigeonfront/spool/contents.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Spooled:
+class SpooledItems:
     """The items of one key.
 
     Attributes
@@ -51,92 +51,98 @@
     Examples
     --------
     >>> contents = SpoolContents()
-    >>> contents.take(Append("d", "lot-1", 7, 0, 0, (b"a", b"b")), 0.0)
+    >>> contents.apply(Append("d", "lot-1", 7, 0, 0, (b"a", b"b")), 0.0)
     Done()
-    >>> contents.take(Seal("d", "lot-1", 9), 0.0)
+    >>> contents.apply(Seal("d", "lot-1", 9), 0.0)
     Held(position=0, items=(b'a', b'b'))
-    >>> contents.take(Append("d", "lot-1", 7, 0, 2, (b"c",)), 0.0)
+    >>> contents.apply(Append("d", "lot-1", 7, 0, 2, (b"c",)), 0.0)
     Fenced()
     """
 
     def __init__(self) -> None:
-        self._keys: dict[str, Spooled] = {}
+        self._keys: dict[str, SpooledItems] = {}
 
     @property
     def item_count(self) -> int:
         """Items of all keys."""
-        return sum(len(one.items) for one in self._keys.values())
+        return sum(len(spooled.items) for spooled in self._keys.values())
 
-    def take(self, call: Append | Seal | Forget, now: float) -> SpoolAnswer:
+    def apply(self, call: Append | Seal | Forget, now: float) -> SpoolAnswer:
         """Carry out a call at a monotonic time; only ``Done`` and ``Held`` changed it.
 
         Parameters
         ----------
         now : float
         """
-        one = self._keys.get(call.key)
-        if one is not None and call.fence < one.fence:
+        spooled = self._keys.get(call.key)
+        if spooled is not None and call.fence < spooled.fence:
             return Fenced()
-        if one is None:
-            one = Spooled()
-        answer = self._take(call, one)
+        if spooled is None:
+            spooled = SpooledItems()
+        answer = self._apply(call, spooled)
         if not isinstance(answer, Gap):
-            one.fence = call.fence
-            one.touched_at = now
-            self._keys[call.key] = one
+            spooled.fence = call.fence
+            spooled.touched_at = now
+            self._keys[call.key] = spooled
         return answer
 
-    def held(self, prefix: str) -> dict[str, tuple[bytes, ...]]:
+    def items_by_key(self, prefix: str) -> dict[str, tuple[bytes, ...]]:
         """Return the items of the keys that begin with `prefix` and have any."""
         return {
-            key: tuple(one.items)
-            for key, one in self._keys.items()
-            if key.startswith(prefix) and one.items
+            key: tuple(spooled.items)
+            for key, spooled in self._keys.items()
+            if key.startswith(prefix) and spooled.items
         }
 
     def forget_call(self, disk: str, key: str) -> Forget:
         """Return the call that drops all items of a key."""
-        one = self._keys.get(key, Spooled())
-        return Forget(disk, key, one.fence, one.end)
+        spooled = self._keys.get(key, SpooledItems())
+        return Forget(disk, key, spooled.fence, spooled.end)
 
     def drop_untouched(self, before: float) -> int:
         """Drop the keys that were last changed before a monotonic time."""
-        old = [key for key, one in self._keys.items() if one.touched_at < before]
+        old = [
+            key for key, spooled in self._keys.items() if spooled.touched_at < before
+        ]
         for key in old:
             del self._keys[key]
         return len(old)
 
-    def calls(self, disk: str) -> Iterator[Append | Seal]:
+    def snapshot_calls(self, disk: str) -> Iterator[Append | Seal]:
         """Return calls that make the same contents anew."""
-        for key, one in self._keys.items():
-            items = tuple(one.items)
-            yield Append(disk, key, one.writer, one.position, one.position, items)
-            yield Seal(disk, key, one.fence)
+        for key, spooled in self._keys.items():
+            items = tuple(spooled.items)
+            yield Append(
+                disk, key, spooled.writer, spooled.position, spooled.position, items
+            )
+            yield Seal(disk, key, spooled.fence)
 
     @singledispatchmethod
-    def _take(self, call: Append | Seal | Forget, one: Spooled) -> SpoolAnswer:
+    def _apply(
+        self, call: Append | Seal | Forget, spooled: SpooledItems
+    ) -> SpoolAnswer:
         raise TypeError(f"not a call: {call!r}")
 
-    @_take.register
-    def _(self, call: Append, one: Spooled) -> SpoolAnswer:
-        same_writer = one.items and call.fence == one.writer
-        if same_writer and call.position <= one.end:
-            one.items.extend(call.items[one.end - call.position :])
+    @_apply.register
+    def _(self, call: Append, spooled: SpooledItems) -> SpoolAnswer:
+        same_writer = spooled.items and call.fence == spooled.writer
+        if same_writer and call.position <= spooled.end:
+            spooled.items.extend(call.items[spooled.end - call.position :])
             return Done()
         if call.position > call.kept:
             return Gap()
-        one.writer = call.fence
-        one.position = call.position
-        one.items = list(call.items)
+        spooled.writer = call.fence
+        spooled.position = call.position
+        spooled.items = list(call.items)
         return Done()
 
-    @_take.register
-    def _(self, call: Seal, one: Spooled) -> SpoolAnswer:
-        return Held(one.position, tuple(one.items))
+    @_apply.register
+    def _(self, call: Seal, spooled: SpooledItems) -> SpoolAnswer:
+        return Held(spooled.position, tuple(spooled.items))
 
-    @_take.register
-    def _(self, call: Forget, one: Spooled) -> SpoolAnswer:
-        gone = min(max(0, call.position - one.position), len(one.items))
-        one.items = one.items[gone:]
-        one.position += gone
+    @_apply.register
+    def _(self, call: Forget, spooled: SpooledItems) -> SpoolAnswer:
+        gone = min(max(0, call.position - spooled.position), len(spooled.items))
+        spooled.items = spooled.items[gone:]
+        spooled.position += gone
         return Done()
--- a/src/wigeonfront/spool/file.py
+++ b/src/wigeonfront/spool/file.py
@@ -28,10 +28,10 @@
 
 FILE_NAME = "spool"
 
-KEEP_SECONDS = 600.0
+RETENTION_SECONDS = 600.0
 """Time after which what nobody has changed is dropped: many times what a Lot takes."""
 
-MOST_FILE_BYTES = 64 * 1024 * 1024
+MAX_FILE_BYTES = 64 * 1024 * 1024
 """Size from which the file is written anew with what it holds; a refused call then
 tells its writer that the disk has no room."""
 
@@ -82,37 +82,37 @@
         with self._lock:
             return self._contents.item_count
 
-    def take(self, call: SpoolCall) -> SpoolAnswer:
+    def apply(self, call: SpoolCall) -> SpoolAnswer:
         """Carry out a call."""
         with self._lock:
             if call.disk != self.disk:
                 return Refused("other disk")
             if self._failed:
                 return Refused("disk failed")
-            if isinstance(call, Append) and self._size() > MOST_FILE_BYTES:
+            if isinstance(call, Append) and self._size() > MAX_FILE_BYTES:
                 return Refused("disk full")
-            answer = self._contents.take(call, self._clock.monotonic())
+            answer = self._contents.apply(call, self._clock.monotonic())
             if isinstance(answer, Done | Held) and not self._write(call):
                 return Refused("disk failed")
             return answer
 
-    def held(self, prefix: str) -> dict[str, tuple[bytes, ...]]:
+    def items_by_key(self, prefix: str) -> dict[str, tuple[bytes, ...]]:
         """Return the items of the keys that begin with `prefix` and have any."""
         with self._lock:
-            return self._contents.held(prefix)
+            return self._contents.items_by_key(prefix)
 
     def forget(self, key: str) -> None:
         """Drop the items of a key, which are kept elsewhere."""
         with self._lock:
             call = self._contents.forget_call(self.disk, key)
-        self.take(call)
+        self.apply(call)
 
     def upkeep(self) -> None:
         """Drop what is old, and shorten the file where that is worth it."""
         with self._lock:
-            before = self._clock.monotonic() - KEEP_SECONDS
+            before = self._clock.monotonic() - RETENTION_SECONDS
             dropped = self._contents.drop_untouched(before)
-            limit = MOST_FILE_BYTES if self._contents.item_count else REWRITE_BYTES
+            limit = MAX_FILE_BYTES if self._contents.item_count else REWRITE_BYTES
             if not self._failed and self._size() > limit // 2:
                 self._rewrite()
                 event(logger, "spool_rewritten", dropped=dropped, size=self._size())
@@ -133,7 +133,7 @@
             if isinstance(record, _DiskId):
                 self.disk = record.disk
             else:
-                self._contents.take(record, self._clock.monotonic())
+                self._contents.apply(record, self._clock.monotonic())
         # What a loss of power has torn was never answered.
         file.truncate(good)
         file.seek(good)
@@ -174,7 +174,7 @@
             file = _opened(new)
             file.truncate(0)
             _put(file, _DiskId(self.disk))
-            for call in self._contents.calls(self.disk):
+            for call in self._contents.snapshot_calls(self.disk):
                 _put(file, call)
             os.fsync(file.fileno())
             new.rename(self._path)
--- a/src/wigeonfront/spool/server.py
+++ b/src/wigeonfront/spool/server.py
@@ -22,7 +22,7 @@
 BAD_CALL = 400
 UNKNOWN_PATH = 404
 
-MOST_CALL_BYTES = 8 * 1024 * 1024
+MAX_CALL_BYTES = 8 * 1024 * 1024
 
 
 class SpoolServer:
@@ -42,20 +42,20 @@
             call.reply(UNKNOWN_PATH)
             return
         try:
-            body = call.body(MOST_CALL_BYTES)
+            body = call.body(MAX_CALL_BYTES)
             asked = msgspec.msgpack.decode(body, type=SpoolRequest)
         except msgspec.DecodeError as error:
             event(logger, "bad_spool_call", reason=str(error)[:200])
             call.reply(BAD_CALL)
             return
         if isinstance(asked, ListKeys):
-            answer = Keys(tuple(self._file.held(asked.prefix)))
+            answer = Keys(tuple(self._file.items_by_key(asked.prefix)))
         else:
-            answer = self._take(asked)
+            answer = self._apply(asked)
         call.reply(OK, msgspec.msgpack.encode(answer))
 
-    def _take(self, asked: SpoolCall) -> SpoolAnswer:
-        answer = self._file.take(asked)
+    def _apply(self, asked: SpoolCall) -> SpoolAnswer:
+        answer = self._file.apply(asked)
         event(
             logger,
             "spool_call",
--- a/tests/test_spool.py
+++ b/tests/test_spool.py
@@ -18,7 +18,7 @@
     Seal,
 )
 from wigeonfront.spool.contents import SpoolContents
-from wigeonfront.spool.file import KEEP_SECONDS, SpoolFile
+from wigeonfront.spool.file import RETENTION_SECONDS, SpoolFile
 
 
 def items(*names):
@@ -115,10 +115,10 @@
 def test_what_a_disk_takes(tmp_path, calls, last, answer, held):
     contents = SpoolContents()
     for call in calls:
-        contents.take(call, 0.0)
-    assert contents.take(last, 0.0) == answer
+        contents.apply(call, 0.0)
+    assert contents.apply(last, 0.0) == answer
     position, names = held
-    found = contents.take(seal(99), 0.0)
+    found = contents.apply(seal(99), 0.0)
     assert (found.items, found.position if names else 0) == (items(*names), position)
 
 
@@ -143,12 +143,12 @@
 def test_a_disk_has_what_it_answered_for_after_a_restart(open_file):
     file = open_file()
     disk = file.disk
-    assert file.take(append(5, 0, 0, "a", "b", disk=disk)) == Done()
-    assert file.take(seal(7, disk)) == Held(0, items("a", "b"))
+    assert file.apply(append(5, 0, 0, "a", "b", disk=disk)) == Done()
+    assert file.apply(seal(7, disk)) == Held(0, items("a", "b"))
     file = open_file()
     assert file.disk == disk
-    assert file.take(append(5, 0, 2, "c", disk=disk)) == Fenced()
-    assert file.take(seal(7, disk)) == Held(0, items("a", "b"))
+    assert file.apply(append(5, 0, 2, "c", disk=disk)) == Fenced()
+    assert file.apply(seal(7, disk)) == Held(0, items("a", "b"))
 
 
 @pytest.mark.parametrize("cut", [1, 7, 9, 30])
@@ -157,27 +157,27 @@
 ):
     file = open_file()
     disk = file.disk
-    file.take(append(5, 0, 0, "a", disk=disk))
+    file.apply(append(5, 0, 0, "a", disk=disk))
     whole = (tmp_path / "spool").stat().st_size
-    file.take(append(5, 0, 1, "b" * 40, disk=disk))
+    file.apply(append(5, 0, 1, "b" * 40, disk=disk))
     file.close()
     with (tmp_path / "spool").open("r+b") as torn:
         torn.truncate(whole + cut)
     file = open_file()
-    assert file.take(seal(5, disk)) == Held(0, items("a"))
-    file.take(append(5, 0, 1, "c", disk=disk))
-    assert open_file().take(seal(5, disk)) == Held(0, items("a", "c"))
+    assert file.apply(seal(5, disk)) == Held(0, items("a"))
+    file.apply(append(5, 0, 1, "c", disk=disk))
+    assert open_file().apply(seal(5, disk)) == Held(0, items("a", "c"))
 
 
 def test_bytes_that_changed_end_what_is_read(tmp_path, open_file):
     file = open_file()
     disk = file.disk
-    file.take(append(5, 0, 0, "a" * 50, disk=disk))
+    file.apply(append(5, 0, 0, "a" * 50, disk=disk))
     file.close()
     data = bytearray((tmp_path / "spool").read_bytes())
     data[-10] ^= 1
     (tmp_path / "spool").write_bytes(data)
-    assert open_file().take(seal(5, disk)) == Held(0, ())
+    assert open_file().apply(seal(5, disk)) == Held(0, ())
 
 
 def test_a_disk_that_was_lost_has_another_id_and_takes_no_call_for_the_old(
@@ -187,15 +187,15 @@
     (tmp_path / "spool").unlink()
     file = open_file()
     assert file.disk != disk
-    assert file.take(seal(5, disk)) == Refused("other disk")
+    assert file.apply(seal(5, disk)) == Refused("other disk")
 
 
 def test_a_file_that_can_not_be_written_takes_nothing_more(open_file, monkeypatch):
     file = open_file()
     monkeypatch.setattr("os.fsync", fail)
-    assert file.take(append(5, 0, 0, "a", disk=file.disk)) == Refused("disk failed")
+    assert file.apply(append(5, 0, 0, "a", disk=file.disk)) == Refused("disk failed")
     monkeypatch.undo()
-    assert file.take(seal(5, file.disk)) == Refused("disk failed")
+    assert file.apply(seal(5, file.disk)) == Refused("disk failed")
 
 
 def fail(descriptor):
@@ -208,25 +208,25 @@
     disk = file.disk
     big = "x" * 1_000_000
     for number in range(9):
-        file.take(append(5, number, number, big, disk=disk))
-    file.take(Forget(disk, "lot", 5, 9))
-    file.take(Append(disk, "other", 3, 0, 0, items("kept")))
-    file.take(Seal(disk, "other", 4))
+        file.apply(append(5, number, number, big, disk=disk))
+    file.apply(Forget(disk, "lot", 5, 9))
+    file.apply(Append(disk, "other", 3, 0, 0, items("kept")))
+    file.apply(Seal(disk, "other", 4))
     assert (tmp_path / "spool").stat().st_size > 8_000_000
-    file.take(Forget(disk, "other", 4, 1))
+    file.apply(Forget(disk, "other", 4, 1))
     file.upkeep()
     assert (tmp_path / "spool").stat().st_size < 1_000
-    file.take(Append(disk, "other", 4, 1, 1, items("more")))
+    file.apply(Append(disk, "other", 4, 1, 1, items("more")))
     file = open_file(clock=clock)
-    assert file.take(Append(disk, "other", 3, 1, 2, items("old"))) == Fenced()
-    assert file.take(Seal(disk, "other", 4)) == Held(1, items("more"))
+    assert file.apply(Append(disk, "other", 3, 1, 2, items("old"))) == Fenced()
+    assert file.apply(Seal(disk, "other", 4)) == Held(1, items("more"))
 
 
 def test_what_nobody_forgets_is_dropped_after_a_while(open_file):
     clock = ManualClock(1.0)
     file = open_file(clock=clock)
-    file.take(append(5, 0, 0, "a", disk=file.disk))
-    clock.advance(KEEP_SECONDS - 1)
+    file.apply(append(5, 0, 0, "a", disk=file.disk))
+    clock.advance(RETENTION_SECONDS - 1)
     file.upkeep()
     assert file.item_count == 1
     clock.advance(2)
@@ -326,7 +326,7 @@
     def send(self, index, fate, call):
         if fate == "late":
             self.late.append((index, call))
-        return self.disks[index].take(call, 0.0) if fate == "done" else None
+        return self.disks[index].apply(call, 0.0) if fate == "done" else None
 
     @rule(who=WHO, index=st.integers(0, DISKS - 1), fate=FATES)
     def forget(self, who, index, fate):
@@ -338,7 +338,7 @@
     def arrive(self, number):
         if self.late:
             index, call = self.late.pop(number % len(self.late))
-            self.disks[index].take(call, 0.0)
+            self.disks[index].apply(call, 0.0)
 
     @rule(index=st.integers(0, DISKS - 1))
     def lose_disk(self, index):
@@ -353,7 +353,7 @@
         self.revision += 1
         kept = list(self.kept)
         for index in [*range(first, self.DISKS), *range(first)]:
-            answer = self.disks[index].take(seal(self.revision), 0.0)
+            answer = self.disks[index].apply(seal(self.revision), 0.0)
             if not isinstance(answer, Held):
                 continue
             if lost_answers and self.lost == 0:
@@ -392,7 +392,7 @@
 class LostDisk:
     """Stands for a disk that came back under another id."""
 
-    def take(self, call, now):
+    def apply(self, call, now):
         return Refused("other disk")
 
 
--- a/tests/test_spooling.py
+++ b/tests/test_spooling.py
@@ -151,7 +151,7 @@
     append = second._repository.append
     second._repository.append = lambda *arguments: NotKept("refused by the test")
     for disk in deployed.disks:
-        disk._spool.take = lambda call, take=disk._spool.take: (
+        disk._spool.apply = lambda call, take=disk._spool.apply: (
             Refused("full") if isinstance(call, Append) else take(call)
         )
     deployed.rows.faults.down = False
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -59,7 +59,7 @@
 
 
 def held(deployed):
-    return sum(len(disk._spool.held(KEY_PREFIX)) for disk in deployed.disks)
+    return sum(len(disk._spool.items_by_key(KEY_PREFIX)) for disk in deployed.disks)
 
 
 def test_a_lot_runs_while_the_store_is_away_and_is_shown_at_its_return(deployed):
@@ -286,7 +286,7 @@
 
     def append(self, members, key, fence, kept, position, items):
         call = Append(self.file.disk, key, fence, kept, position, tuple(items))
-        self.file.take(call)
+        self.file.apply(call)
         return True
 
 
@@ -304,13 +304,13 @@
     clock.advance(OWNER_SECONDS - 0.1)
     keeper.look()
     assert not isinstance(repository.head(LOT.id), Head)
-    assert disk.held(KEY_PREFIX)
+    assert disk.items_by_key(KEY_PREFIX)
     clock.advance(0.1)
     keeper.look()
     head = repository.head(LOT.id)
     assert (head.owner, head.state, head.spools) == (NO_OWNER, LotState.OPEN, SPOOLS)
     assert repository.load(LOT.id, head.parts) == LOT
-    assert not disk.held(KEY_PREFIX)
+    assert not disk.items_by_key(KEY_PREFIX)
     assert disk.item_count == 0
 
 
@@ -319,7 +319,7 @@
     SubmissionStore(DirectSpool(disk)).put(LOT, SPOOLS)
     repository.accept(LOT, ME, SPOOLS)
     SubmissionKeeper(disk, repository, ManualClock()).look()
-    assert not disk.held(KEY_PREFIX)
+    assert not disk.items_by_key(KEY_PREFIX)
     assert repository.head(LOT.id).owner == ME
 
 
@@ -328,4 +328,4 @@
     store = SubmissionStore(DirectSpool(disk))
     assert store.put(replace(LOT, samples=(sample,)), SPOOLS) is Stored.NONE
     assert store.put(LOT, ()) is Stored.NONE
-    assert not disk.held(KEY_PREFIX)
+    assert not disk.items_by_key(KEY_PREFIX)
--- a/tests/test_target_follower.py
+++ b/tests/test_target_follower.py
@@ -35,7 +35,10 @@
             self.table, self.clock, lambda: None, self.gone.append
         )
         self.mirror = Mirror(
-            DirectRows(self.rows), records.TARGET_PREFIX, self.clock, self.follower.update
+            DirectRows(self.rows),
+            records.TARGET_PREFIX,
+            self.clock,
+            self.follower.update,
         )
 
     def register(self, id, port=5, **changes):
