--- a/src/wigeonfront/node/assigning.py
+++ b/src/wigeonfront/node/assigning.py
@@ -19,7 +19,7 @@
 from wigeonfront.targets.table import TargetTable
 
 
-class Presence:
+class MembershipTracker:
     """Who is registered, and for how long holders have been missing.
 
     Parameters
@@ -44,7 +44,7 @@
         self._clock = clock
         self._missing_since: dict[str, float] = {}
 
-    def look(self, assignment: Assignment | None) -> Present | None:
+    def view(self, assignment: Assignment | None) -> Present | None:
         """Return what is seen now; ``None`` while it may be out of date."""
         now = self._clock.monotonic()
         mirror = self._mirror
@@ -94,7 +94,7 @@
         )
 
 
-class Assigning:
+class EntryAssignment:
     """The agreed row as this entry knows it, and its part in changing it.
 
     Parameters
@@ -124,14 +124,14 @@
         self._mirror = mirror
         self._on_change = on_change
         self._current: Assignment | None = None
-        presence = Presence(mirror, table, configuration, clock)
+        tracker = MembershipTracker(mirror, table, configuration, clock)
         self._keeper = AssignmentKeeper(
             store,
             settings.name,
-            lambda: presence.look(self._current),
+            lambda: tracker.view(self._current),
             settings.bounds.order_seconds,
             clock,
-            self._take,
+            self._adopt,
         )
 
     @property
@@ -167,9 +167,9 @@
             return
         assignment = decode_assignment(row.value, row.revision)
         if assignment is not None:
-            self._take(assignment)
+            self._adopt(assignment)
 
-    def _take(self, assignment: Assignment) -> None:
+    def _adopt(self, assignment: Assignment) -> None:
         known = self._current
         if known is None or assignment.revision > known.revision:
             self._current = assignment
--- a/src/wigeonfront/node/duties.py
+++ b/src/wigeonfront/node/duties.py
@@ -23,7 +23,7 @@
 from wigeonfront.usage.windows import UsageBounds
 
 
-class UsagePart:
+class UsageDuty:
     """An entry's part in reporting usage.
 
     Parameters
@@ -87,7 +87,7 @@
         """The calls of other entries that it answers, by their paths."""
         return {COLLECT_PATH: self._server.collect, COPY_PATH: self._server.copy}
 
-    def take(self, assignment: Assignment) -> None:
+    def update_assignment(self, assignment: Assignment) -> None:
         """Take a newer row of who acts for what."""
         self._rights.take(assignment)
 
@@ -110,10 +110,10 @@
     holder: Callable[[str], str | None],
     clock: Clock,
     metrics: Registry,
-) -> list[UsagePart]:
-    """Return the parts for the duties that are to be done; see `UsagePart`."""
+) -> list[UsageDuty]:
+    """Return the parts for the duties that are to be done; see `UsageDuty`."""
     if not settings.duty_address or Duty.USAGE not in settings.duties:
         return []
     return [
-        UsagePart(settings, store, log, me, members, holder, clock, metrics),
+        UsageDuty(settings, store, log, me, members, holder, clock, metrics),
     ]
--- a/src/wigeonfront/node/engine_place.py
+++ b/src/wigeonfront/node/engine_place.py
@@ -5,10 +5,10 @@
 from wigeonfront.clock import Clock
 from wigeonfront.weights.plan import Place
 
-LEAST_SECONDS = 3.0
+MIN_REFRESH_SECONDS = 3.0
 """How long a place is used that was new when it was read: less than a step."""
 
-MOST_SECONDS = 30.0
+MAX_REFRESH_SECONDS = 30.0
 """The same for one that has long been the same. Each reading of the list of engines
 costs a call of each side; the place of a gone engine only shifts which half loads."""
 
@@ -34,12 +34,14 @@
         """Return the place, read anew if it is too old."""
         now = self._clock.monotonic()
         if now >= self._until:
-            self._take(self._read(), now)
+            self._update(self._read(), now)
         return self._place
 
-    def _take(self, place: Place | None, now: float) -> None:
+    def _update(self, place: Place | None, now: float) -> None:
         if place != self._place:
             self._same_since = now
             self._place = place or self._place
-        pause = min(max(now - self._same_since, LEAST_SECONDS), MOST_SECONDS)
+        pause = min(
+            max(now - self._same_since, MIN_REFRESH_SECONDS), MAX_REFRESH_SECONDS
+        )
         self._until = now + pause
--- a/src/wigeonfront/node/entry.py
+++ b/src/wigeonfront/node/entry.py
@@ -25,7 +25,7 @@
 from wigeonfront.forwarding.forwarder import Forwarder
 from wigeonfront.forwarding.streams import StreamForwarder
 from wigeonfront.http.raw import RawCall, RawServer, close_all
-from wigeonfront.node.assigning import Assigning
+from wigeonfront.node.assigning import EntryAssignment
 from wigeonfront.node.duties import make_duties
 from wigeonfront.node.engine_orders import make_fleet
 from wigeonfront.node.following import ConfigurationFollower, TargetFollower
@@ -77,14 +77,14 @@
 """Time from the stop signal until no more connections come: the platform asks for
 readiness once a second and takes an entry out after two misses."""
 
-LAST_SECONDS = 3.0
+STOP_RESERVE_SECONDS = 3.0
 """Time kept from the allowed stop for handing over Lots and closing: a store that is
 silent takes a second of it."""
 
 HAND_OVER_SECONDS = 1.5
 """Part of that time in which a store that is away is asked again."""
 
-CALLERS_SERVERS = ("front", "api")
+CALLER_SERVERS = ("front", "api")
 
 CLOSE_SECONDS = 0.5
 """Time that calls get to end after the listener is closed."""
@@ -159,7 +159,7 @@
             clock,
             self._metrics,
         )
-        self._assigning = Assigning(
+        self._assigning = EntryAssignment(
             settings,
             self._store,
             self._view.live,
@@ -264,7 +264,7 @@
                 self._clock,
             ),
             SubmissionStore(self._spool),
-            PendingLots(self._spool, self._view.disks_seen, self._clock),
+            PendingLots(self._spool, self._view.disk_registrations, self._clock),
             lambda: self._loads.lot_started(),
             self._clock,
         )
@@ -401,15 +401,15 @@
         self._stopping = True
         self._lots.leave()
         self._registration.leave()
-        for server in self._callers_servers():
+        for server in self._caller_servers():
             server.close_kept_alive()
         event(logger, "stopping", lots=len(self._runner.owned_ids()))
-        last = began + self._settings.bounds.stop_seconds - LAST_SECONDS
+        last = began + self._settings.bounds.stop_seconds - STOP_RESERVE_SECONDS
         self._clock.sleep(UNREADY_SECONDS)
         while self._runner.has_open_lots() and self._clock.monotonic() < last:
             self._clock.sleep(0.1)
         self._lots.hand_over(last + HAND_OVER_SECONDS)
-        close_all(self._callers_servers(), CLOSE_SECONDS)
+        close_all(self._caller_servers(), CLOSE_SECONDS)
         for duty in self._duties:
             duty.leave()
         self.close()
@@ -420,14 +420,14 @@
         close_all((*self._servers.values(), self._metrics_page.server), 0.0)
         self._supervisor.stop()
 
-    def _callers_servers(self) -> list[RawServer]:
+    def _caller_servers(self) -> list[RawServer]:
         return [
-            server for name, server in self._servers.items() if name in CALLERS_SERVERS
+            server for name, server in self._servers.items() if name in CALLER_SERVERS
         ]
 
     def _on_configuration(self, new: Configuration) -> None:
         limits = new.limits
-        for server in self._callers_servers():
+        for server in self._caller_servers():
             server.set_limits(limits.idle_seconds, limits.header_bytes)
         self._runner.wake()
         self._fleet.update()
@@ -443,7 +443,7 @@
     def _on_assignment(self, assignment: Assignment) -> None:
         self._fleet.take(assignment)
         for duty in self._duties:
-            duty.take(assignment)
+            duty.update_assignment(assignment)
 
     def _on_target_replaced(self, id: str) -> None:
         self._guard.replaced(id)
--- a/src/wigeonfront/node/interface.py
+++ b/src/wigeonfront/node/interface.py
@@ -18,8 +18,8 @@
 from wigeonfront.forwarding.forwarder import Forwarder
 from wigeonfront.forwarding.keyed import KeyedRequests
 from wigeonfront.forwarding.streams import StreamForwarder
-from wigeonfront.node.assigning import Assigning
-from wigeonfront.node.duties import UsagePart
+from wigeonfront.node.assigning import EntryAssignment
+from wigeonfront.node.duties import UsageDuty
 from wigeonfront.node.following import ConfigurationFollower
 from wigeonfront.node.store_view import StoreView
 from wigeonfront.observability.explain import RememberedEvents
@@ -52,8 +52,8 @@
     store: RowStore
     view: StoreView
     configuration: ConfigurationFollower
-    assigning: Assigning
-    duties: list[UsagePart]
+    assigning: EntryAssignment
+    duties: list[UsageDuty]
     table: TargetTable
     forwarder: Forwarder
     streams: StreamForwarder
@@ -119,6 +119,6 @@
     return OperatorCalls(deployment, remembered.find, parts.drain)
 
 
-def _duty(part: UsagePart, assigning: Assigning) -> DutyStatus:
+def _duty(part: UsageDuty, assigning: EntryAssignment) -> DutyStatus:
     holder = assigning.holder(part.subject) or ""
     return DutyStatus(part.subject, holder, assigning.revision, part.last)
--- a/src/wigeonfront/node/loading.py
+++ b/src/wigeonfront/node/loading.py
@@ -44,7 +44,7 @@
 
 
 def node_settings(
-    given: ProcessSettings, laid_down: NodeSettings | None
+    given: ProcessSettings, from_platform: NodeSettings | None
 ) -> NodeSettings | Rejected:
     """Return the settings of a process, or what is missing.
 
@@ -52,14 +52,14 @@
     ----------
     given : ProcessSettings
         What flags and environment say.
-    laid_down : NodeSettings or None
+    from_platform : NodeSettings or None
         What a platform's file says.
     """
-    if laid_down is None:
+    if from_platform is None:
         missing = tuple(_missing(given))
         if missing:
             return Rejected(missing)
-    base = laid_down or NodeSettings(name="", host="", failure_domain="default")
+    base = from_platform or NodeSettings(name="", host="", failure_domain="default")
     changes: dict[str, object] = {}
     for setting, field in _FIELDS.items():
         value = getattr(given, setting, None)
--- a/src/wigeonfront/node/process.py
+++ b/src/wigeonfront/node/process.py
@@ -42,11 +42,11 @@
     role, name : str
         Written in the logs.
     """
-    told = StopSignal()
-    told.install()
+    stop_signal = StopSignal()
+    stop_signal.install()
     node.start()
     event(logger, "started", role=role, node=name)
-    while not told.wait(FAILURE_POLL_SECONDS) and not node.failed:
+    while not stop_signal.wait(FAILURE_POLL_SECONDS) and not node.failed:
         pass
     node.stop()
     event(logger, "stopped", role=role, failed=node.failed)
--- a/src/wigeonfront/node/store_view.py
+++ b/src/wigeonfront/node/store_view.py
@@ -112,7 +112,7 @@
             and (member := decode_member(row, STORAGE_PREFIX)) is not None
         ]
 
-    def disks_seen(self) -> DisksSeen:
+    def disk_registrations(self) -> DisksSeen:
         """Return what is known of processes with a disk, registered or not."""
         registered = self.disks()
         names = {member.name for member in registered}
--- a/tests/test_assigning.py
+++ b/tests/test_assigning.py
@@ -6,7 +6,7 @@
 from wigeonfront.coordination.assignment import ABSENT_SECONDS, Assignment, Holders
 from wigeonfront.coordination.mirror import MirrorState
 from wigeonfront.coordination.rows import Row
-from wigeonfront.node.assigning import Presence
+from wigeonfront.node.assigning import MembershipTracker
 from wigeonfront.node.following import ConfigurationFollower
 
 AGREED = Assignment(Holders(("n1", "n2")), revision=1)
@@ -49,34 +49,34 @@
 
 
 @pytest.fixture
-def presence(seen, clock):
-    return Presence(seen, NoTargets(), ConfigurationFollower(clock), clock)
+def tracker(seen, clock):
+    return MembershipTracker(seen, NoTargets(), ConfigurationFollower(clock), clock)
 
 
-def test_a_holder_is_missing_from_when_it_was_first_not_seen(presence, seen, clock):
-    assert presence.look(AGREED).absent == {}
+def test_a_holder_is_missing_from_when_it_was_first_not_seen(tracker, seen, clock):
+    assert tracker.view(AGREED).absent == {}
     seen.names = ("n2", "n3")
-    assert presence.look(AGREED).absent == {"n1": 0.0}
+    assert tracker.view(AGREED).absent == {"n1": 0.0}
     clock.advance(2.5)
-    assert presence.look(AGREED).absent == {"n1": 2.5}
+    assert tracker.view(AGREED).absent == {"n1": 2.5}
     seen.names = ("n1", "n2", "n3")
-    assert presence.look(AGREED).absent == {}
+    assert tracker.view(AGREED).absent == {}
 
 
 @pytest.mark.parametrize("missed_before", [True, False])
 def test_after_an_outage_holders_get_the_same_time_to_return(
-    presence, seen, clock, missed_before
+    tracker, seen, clock, missed_before
 ):
     """Its length does not count, and nothing more is waited for."""
     if missed_before:
         seen.names = ("n2", "n3")
-        presence.look(AGREED)
+        tracker.view(AGREED)
     seen.failing = True
     clock.advance(7.0)
-    assert presence.look(AGREED) is None
+    assert tracker.view(AGREED) is None
     seen.failing = False
     seen.names = ("n2", "n3")
     seen.regained_at = clock.monotonic()
-    assert presence.look(AGREED).absent == {"n1": 0.0}
+    assert tracker.view(AGREED).absent == {"n1": 0.0}
     clock.advance(ABSENT_SECONDS)
-    assert presence.look(AGREED).absent == {"n1": ABSENT_SECONDS}
+    assert tracker.view(AGREED).absent == {"n1": ABSENT_SECONDS}
--- a/tests/test_engine_place.py
+++ b/tests/test_engine_place.py
@@ -3,7 +3,11 @@
 import pytest
 
 from wigeonfront.clock import ManualClock
-from wigeonfront.node.engine_place import LEAST_SECONDS, MOST_SECONDS, EnginePlace
+from wigeonfront.node.engine_place import (
+    MAX_REFRESH_SECONDS,
+    MIN_REFRESH_SECONDS,
+    EnginePlace,
+)
 from wigeonfront.weights.plan import Place
 
 
@@ -37,21 +41,21 @@
 def test_a_place_that_stays_is_read_ever_more_rarely(reads):
     assert reads.known.find() == reads.place
     assert reads.find_for(60.0) <= 5
-    assert reads.find_for(600.0) <= 600 / MOST_SECONDS + 1
+    assert reads.find_for(600.0) <= 600 / MAX_REFRESH_SECONDS + 1
 
 
 def test_a_place_that_changes_is_known_and_read_often_again(reads):
     reads.find_for(200.0)
     reads.place = Place(2, 5, ("m",))
-    reads.find_for(MOST_SECONDS + 1)
+    reads.find_for(MAX_REFRESH_SECONDS + 1)
     assert reads.known.find() == reads.place
-    assert reads.find_for(4 * LEAST_SECONDS) >= 2
+    assert reads.find_for(4 * MIN_REFRESH_SECONDS) >= 2
 
 
 def test_a_start_in_which_engines_come_one_by_one_is_followed(reads):
     for count in range(1, 8):
         reads.place = Place(0, count, ("m",))
-        reads.find_for(LEAST_SECONDS + 1)
+        reads.find_for(MIN_REFRESH_SECONDS + 1)
         assert reads.known.find() == reads.place
 
 
@@ -59,6 +63,6 @@
     known = reads.place
     reads.find_for(200.0)
     reads.place = None
-    reads.find_for(MOST_SECONDS + 1)
+    reads.find_for(MAX_REFRESH_SECONDS + 1)
     assert reads.known.find() == known
-    assert reads.find_for(4 * LEAST_SECONDS) >= 3
+    assert reads.find_for(4 * MIN_REFRESH_SECONDS) >= 3
