--- a/src/wigeonfront/commands/run.py
+++ b/src/wigeonfront/commands/run.py
@@ -55,8 +55,8 @@
     from wigeonfront.platform.boot import read_boot
 
     try:
-        laid_down = read_boot(path)
+        from_platform = read_boot(path)
     except ValueError as error:
         bad = BadSetting("file", PLATFORM_FILE_VARIABLE, path, f"a good file: {error}")
         return Rejected((bad,))
-    return node_settings(given, laid_down)
+    return node_settings(given, from_platform)
--- a/src/wigeonfront/spool/__init__.py
+++ b/src/wigeonfront/spool/__init__.py
@@ -1,13 +1,15 @@
-"""Items on a few disks until the store that they belong in answers again.
+"""A spool: a log of items on a few disks, kept until the store answers again.
 
-It starts no tasks by itself: `node.storage` serves the disk, `rollout.spooling` writes
-and forgets. `contents` is what a disk holds and which calls it takes, `file` keeps it,
-`calls` are the messages, `server` and `client` their two ends.
+The package starts no tasks itself. `node.storage` serves a disk, and `rollout.spooling`
+appends items and drops them. `contents` holds the items of a disk and decides which
+calls it accepts, `file` makes them durable, `calls` defines the messages, and `server`
+and `client` are the two ends of a call.
 
-A writer names a *fence*, the revision of the row that makes it the owner. It writes to
-all members; the next owner seals one of them with its own, higher, fence and gets what
-is there. A sealed member takes nothing from an earlier owner, so what all members have
-taken is never missed, and nothing is shown that is not.
+Each writer has a *fence*, a fencing token: the revision of the row that makes it the
+owner. A writer appends to all members. The next owner seals one of them with its own,
+higher fence and reads the items there. A sealed member refuses earlier owners. The next
+owner therefore finds every item that all members had accepted, and only such items may
+be shown to a reader.
 """
 
 from wigeonfront.spool.calls import SpoolMember
--- a/src/wigeonfront/spool/calls.py
+++ b/src/wigeonfront/spool/calls.py
@@ -1,4 +1,4 @@
-"""Messages between the owners of items and the processes with disks."""
+"""Messages between the owners of items and the storage processes."""
 
 import msgspec
 
@@ -6,14 +6,15 @@
 
 
 class SpoolMember(msgspec.Struct, frozen=True):
-    """A disk that takes items.
+    """A member of a spool: a disk that accepts items.
 
     Attributes
     ----------
     address : str
-        ``host:port`` of its process.
+        ``host:port`` of the storage process.
     disk : str
-        Id of the disk's file; another after the disk was lost.
+        Id of the spool file on the disk. A disk that was lost comes back with
+        another id.
     """
 
     address: str
@@ -21,19 +22,21 @@
 
 
 class Append(msgspec.Struct, frozen=True, tag="append"):
-    """Take `items` as those from `position` on.
+    """Append `items` at `position`.
 
     Attributes
     ----------
     disk : str
     key : str
-        What the items belong to.
+        Name of the log that the items belong to.
     fence : int
-        Of the writer: the revision under which it owns the key. One writer never
-        changes an item, so its calls may arrive twice, late and in any order.
+        Fencing token of the writer: the revision under which it owns the key. One
+        writer never changes an item, so its calls are idempotent and may arrive twice,
+        late and in any order.
     kept : int
-        Position up to which the items are kept elsewhere.
+        Position up to which the items are stored elsewhere.
     position : int
+        Position of the first of `items`.
     items : tuple of bytes
     """
 
@@ -46,7 +49,7 @@
 
 
 class Seal(msgspec.Struct, frozen=True, tag="seal"):
-    """Refuse writers with a lower fence from now on, and tell what there is."""
+    """Refuse writers with a lower fence from now on, and return the items."""
 
     disk: str
     key: str
@@ -54,7 +57,7 @@
 
 
 class Forget(msgspec.Struct, frozen=True, tag="forget"):
-    """Drop the items before a position, which are kept elsewhere; the fence stays."""
+    """Drop the items before a position, which are stored elsewhere; keep the fence."""
 
     disk: str
     key: str
@@ -66,25 +69,25 @@
 
 
 class ListKeys(msgspec.Struct, frozen=True, tag="list_keys"):
-    """Tell the keys that begin with `prefix` and hold items, on whatever disk."""
+    """Return the keys with `prefix` that have items, whatever the id of the disk is."""
 
     prefix: str
 
 
 class Done(msgspec.Struct, frozen=True, tag="done"):
-    """It is on the disk."""
+    """The call is durable on the disk."""
 
 
 class Gap(msgspec.Struct, frozen=True, tag="gap"):
-    """Items between those that are kept elsewhere and the position are missing here."""
+    """Items between those that are stored elsewhere and the position are missing."""
 
 
 class Fenced(msgspec.Struct, frozen=True, tag="fenced"):
-    """A writer with a higher fence was here."""
+    """The call was refused: a writer with a higher fence has called before."""
 
 
 class Refused(msgspec.Struct, frozen=True, tag="refused"):
-    """Another disk, or one that takes nothing."""
+    """The call was refused: it names another disk, or the disk accepts no writes."""
 
     reason: str
 
@@ -100,7 +103,7 @@
 
 
 class Keys(msgspec.Struct, frozen=True, tag="keys"):
-    """The keys that were asked for."""
+    """The keys that a `ListKeys` request asked for."""
 
     keys: tuple[str, ...]
 
--- a/src/wigeonfront/spool/client.py
+++ b/src/wigeonfront/spool/client.py
@@ -1,4 +1,4 @@
-"""Writes items to all members of a spool, and reads them back from any one."""
+"""Writes items to all members of a spool, and reads them back from one of them."""
 
 import logging
 from collections.abc import Sequence
@@ -32,16 +32,16 @@
 OK = 200
 CONNECT_SECONDS = 0.25
 ANSWER_SECONDS = 0.5
-"""Longest wait for a member: many times what a slow disk takes to sync."""
+"""Timeout of a call to a member: many times what a slow disk takes to sync."""
 
 FAILED_MEMBER_PAUSE_SECONDS = 0.5
-"""How long a member that did not answer is not called again, so that one that is
-silent holds up its callers half of the time at most."""
+"""Pause before a member that did not answer is called again. It equals the timeout of
+a call, so that a silent member delays its callers half of the time at most."""
 
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """What a member held when it was sealed, from `position` on."""
+    """The items of a member when it was sealed, from `position` on."""
 
     position: int = 0
     items: tuple[bytes, ...] = ()
@@ -49,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreached:
-    """No member has answered, so that items may be there."""
+    """No member has answered, so it is unknown whether there are items."""
 
 
 class SpoolClient:
-    """Calls members.
+    """Calls the members of spools.
 
     Parameters
     ----------
@@ -79,17 +79,17 @@
         Parameters
         ----------
         kept : int
-            Position up to which the items are kept elsewhere.
+            Position up to which the items are stored elsewhere.
         items : sequence of bytes
-            All from `kept` on.
+            All items from `kept` on, also those before `position`.
         """
         new = tuple(items[position - kept :])
         for member in members:
             call = Append(member.disk, key, fence, kept, position, new)
             answer = self._call(member, call)
             if isinstance(answer, Gap):
-                whole = Append(member.disk, key, fence, kept, kept, tuple(items))
-                answer = self._call(member, whole)
+                full_append = Append(member.disk, key, fence, kept, kept, tuple(items))
+                answer = self._call(member, full_append)
             if not isinstance(answer, Done):
                 return False
         return True
@@ -107,12 +107,12 @@
     def forget(
         self, members: Sequence[SpoolMember], key: str, fence: int, position: int
     ) -> None:
-        """Tell the members that the items before `position` are kept elsewhere."""
+        """Let the members drop the items before `position`, now stored elsewhere."""
         for member in members:
             self._call(member, Forget(member.disk, key, fence, position))
 
     def keys(self, address: str, prefix: str) -> tuple[str, ...] | Unreached:
-        """Return the keys of one disk that begin with `prefix` and hold items."""
+        """Return the keys of one disk that begin with `prefix` and have items."""
         if self._avoids(address):
             return Unreached()
         answer = self._ask(address, ListKeys(prefix))
--- a/src/wigeonfront/spool/contents.py
+++ b/src/wigeonfront/spool/contents.py
@@ -1,4 +1,4 @@
-"""What a disk of the spool holds, and which calls it takes."""
+"""The items on a disk of the spool, and the rules by which it accepts calls."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -23,11 +23,11 @@
     Attributes
     ----------
     fence : int
-        Lowest that a writer may have.
+        Lowest fence that a writer may have.
     writer : int
-        Fence of the one that wrote the items.
+        Fence of the writer of the items.
     position : int
-        Of the first item.
+        Position of the first item.
     items : list of bytes
     touched_at : float
         Monotonic time of the last change.
@@ -41,7 +41,7 @@
 
     @property
     def end(self) -> int:
-        """Position behind the last item."""
+        """Position after the last item."""
         return self.position + len(self.items)
 
 
@@ -64,15 +64,16 @@
 
     @property
     def item_count(self) -> int:
-        """Items of all keys."""
+        """Number of items of all keys."""
         return sum(len(spooled.items) for spooled in self._keys.values())
 
     def apply(self, call: Append | Seal | Forget, now: float) -> SpoolAnswer:
-        """Carry out a call at a monotonic time; only ``Done`` and ``Held`` changed it.
+        """Apply a call; the contents change only if it returns ``Done`` or ``Held``.
 
         Parameters
         ----------
         now : float
+            Monotonic time in seconds.
         """
         spooled = self._keys.get(call.key)
         if spooled is not None and call.fence < spooled.fence:
@@ -87,7 +88,7 @@
         return answer
 
     def items_by_key(self, prefix: str) -> dict[str, tuple[bytes, ...]]:
-        """Return the items of the keys that begin with `prefix` and have any."""
+        """Return the items of the keys that begin with `prefix`, without empty keys."""
         return {
             key: tuple(spooled.items)
             for key, spooled in self._keys.items()
@@ -100,16 +101,16 @@
         return Forget(disk, key, spooled.fence, spooled.end)
 
     def drop_untouched(self, before: float) -> int:
-        """Drop the keys that were last changed before a monotonic time."""
-        old = [
+        """Drop the keys last changed before a monotonic time; return how many."""
+        expired = [
             key for key, spooled in self._keys.items() if spooled.touched_at < before
         ]
-        for key in old:
+        for key in expired:
             del self._keys[key]
-        return len(old)
+        return len(expired)
 
     def snapshot_calls(self, disk: str) -> Iterator[Append | Seal]:
-        """Return calls that make the same contents anew."""
+        """Yield calls that reproduce the contents."""
         for key, spooled in self._keys.items():
             items = tuple(spooled.items)
             yield Append(
@@ -121,7 +122,7 @@
     def _apply(
         self, call: Append | Seal | Forget, spooled: SpooledItems
     ) -> SpoolAnswer:
-        raise TypeError(f"not a call: {call!r}")
+        raise TypeError(f"not a spool call: {call!r}")
 
     @_apply.register
     def _(self, call: Append, spooled: SpooledItems) -> SpoolAnswer:
@@ -142,7 +143,7 @@
 
     @_apply.register
     def _(self, call: Forget, spooled: SpooledItems) -> SpoolAnswer:
-        gone = min(max(0, call.position - spooled.position), len(spooled.items))
-        spooled.items = spooled.items[gone:]
-        spooled.position += gone
+        dropped = min(max(0, call.position - spooled.position), len(spooled.items))
+        spooled.items = spooled.items[dropped:]
+        spooled.position += dropped
         return Done()
--- a/src/wigeonfront/spool/file.py
+++ b/src/wigeonfront/spool/file.py
@@ -1,4 +1,4 @@
-"""A file of calls that a disk has taken, from which its contents are made anew."""
+"""A log file of the calls that a disk has accepted; replayed at the start."""
 
 import logging
 import os
@@ -29,21 +29,21 @@
 FILE_NAME = "spool"
 
 RETENTION_SECONDS = 600.0
-"""Time after which what nobody has changed is dropped: many times what a Lot takes."""
+"""Time after which an unchanged key is dropped: many times what a Lot takes."""
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
-"""Size from which the file is written anew with what it holds; a refused call then
-tells its writer that the disk has no room."""
+"""Largest size of the file; above it, appends are refused as the disk is full. From
+half of this size on, a file that still has items is rewritten with those alone."""
 
 REWRITE_BYTES = 8 * 1024 * 1024
-"""Size from which the file is written anew as soon as it holds nothing."""
+"""The same for a file without items: it is rewritten from half of this size on."""
 
 _HEADER = struct.Struct(">II")
-"""Length and checksum of a record."""
+"""Length and CRC-32 of a record, before its body."""
 
 
 class _DiskId(msgspec.Struct, frozen=True, tag="disk"):
-    """The first record: made with the file, so that a lost disk has another."""
+    """The first record: a random id made with the file, so a new disk has a new id."""
 
     disk: str
 
@@ -52,12 +52,12 @@
 
 
 class SpoolFile:
-    """The spool of one disk; every change is synced before it is answered.
+    """The spool of one disk; each change is synced to the disk before it is answered.
 
     Parameters
     ----------
     folder : Path
-        Of the disk.
+        Folder on the disk in which the file is.
     clock : Clock
 
     Attributes
@@ -78,12 +78,12 @@
 
     @property
     def item_count(self) -> int:
-        """Items that are held."""
+        """Number of items on the disk."""
         with self._lock:
             return self._contents.item_count
 
     def apply(self, call: SpoolCall) -> SpoolAnswer:
-        """Carry out a call."""
+        """Apply a call and make it durable."""
         with self._lock:
             if call.disk != self.disk:
                 return Refused("other disk")
@@ -97,18 +97,18 @@
             return answer
 
     def items_by_key(self, prefix: str) -> dict[str, tuple[bytes, ...]]:
-        """Return the items of the keys that begin with `prefix` and have any."""
+        """Return the items of the keys that begin with `prefix`, without empty keys."""
         with self._lock:
             return self._contents.items_by_key(prefix)
 
     def forget(self, key: str) -> None:
-        """Drop the items of a key, which are kept elsewhere."""
+        """Drop the items of a key, which are stored elsewhere."""
         with self._lock:
             call = self._contents.forget_call(self.disk, key)
         self.apply(call)
 
     def upkeep(self) -> None:
-        """Drop what is old, and shorten the file where that is worth it."""
+        """Drop keys that nobody changes, and rewrite the file if it has grown long."""
         with self._lock:
             before = self._clock.monotonic() - RETENTION_SECONDS
             dropped = self._contents.drop_untouched(before)
@@ -126,27 +126,27 @@
     # --- the file ------------------------------------------------------------
 
     def _open(self) -> BinaryIO:
-        file = _opened(self._path)
-        good = 0
-        for record, end in _records(file.read()):
-            good = end
+        file = _open_file(self._path)
+        valid_end = 0
+        for record, end in _read_records(file.read()):
+            valid_end = end
             if isinstance(record, _DiskId):
                 self.disk = record.disk
             else:
                 self._contents.apply(record, self._clock.monotonic())
-        # What a loss of power has torn was never answered.
-        file.truncate(good)
-        file.seek(good)
+        # A record that a power failure has torn was never answered.
+        file.truncate(valid_end)
+        file.seek(valid_end)
         if not self.disk:
             self.disk = secrets.token_hex(8)
-            _put(file, _DiskId(self.disk))
+            _append_record(file, _DiskId(self.disk))
         os.fsync(file.fileno())
         event(
             logger,
             "spool_opened",
             disk=self.disk,
             items=self._contents.item_count,
-            size=good,
+            size=valid_end,
         )
         return file
 
@@ -154,12 +154,12 @@
         return os.fstat(self._file.fileno()).st_size
 
     def _write(self, record: _Record) -> bool:
-        """Write a record and sync it; nothing more is taken after a failure.
+        """Write a record and sync it; after a failure, refuse all further calls.
 
-        A record that was torn would hide those behind it.
+        The record may then be torn, and a replay would miss all records after it.
         """
         try:
-            _put(self._file, record)
+            _append_record(self._file, record)
             os.fsync(self._file.fileno())
         except OSError as error:
             self._failed = True
@@ -168,14 +168,14 @@
         return True
 
     def _rewrite(self) -> None:
-        """Put a new file with the same contents in the place of this one."""
+        """Replace the file by a shorter one with the same contents."""
         new = self._path.with_suffix(".new")
         try:
-            file = _opened(new)
+            file = _open_file(new)
             file.truncate(0)
-            _put(file, _DiskId(self.disk))
+            _append_record(file, _DiskId(self.disk))
             for call in self._contents.snapshot_calls(self.disk):
-                _put(file, call)
+                _append_record(file, call)
             os.fsync(file.fileno())
             new.rename(self._path)
             _sync_folder(self._path.parent)
@@ -186,33 +186,33 @@
             event(logger, "spool_failed", reason=str(error))
 
 
-def _opened(path: Path) -> BinaryIO:
-    """Return a file for reading and writing, made where there is none."""
+def _open_file(path: Path) -> BinaryIO:
+    """Open a file for reading and writing; create it if there is none."""
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
     return os.fdopen(descriptor, "r+b", buffering=0)
 
 
-def _put(file: BinaryIO, record: _Record) -> None:
+def _append_record(file: BinaryIO, record: _Record) -> None:
     data = msgspec.msgpack.encode(record)
-    whole = _HEADER.pack(len(data), zlib.crc32(data)) + data
-    if file.write(whole) != len(whole):
-        raise OSError("record cut short")
+    framed = _HEADER.pack(len(data), zlib.crc32(data)) + data
+    if file.write(framed) != len(framed):
+        raise OSError("record was written only in part")
 
 
-def _records(data: bytes) -> Iterator[tuple[_Record, int]]:
-    """Yield the records up to the first that is torn, each with its end."""
+def _read_records(data: bytes) -> Iterator[tuple[_Record, int]]:
+    """Yield the records up to the first that is torn, each with its end offset."""
     start = 0
     while start + _HEADER.size <= len(data):
         length, checksum = _HEADER.unpack_from(data, start)
-        begin = start + _HEADER.size
-        body = data[begin : begin + length]
+        body_start = start + _HEADER.size
+        body = data[body_start : body_start + length]
         if len(body) < length or zlib.crc32(body) != checksum:
             return
         try:
             record = msgspec.msgpack.decode(body, type=_Record)
         except msgspec.DecodeError:
             return
-        start = begin + length
+        start = body_start + length
         yield record, start
 
 
--- a/src/wigeonfront/spool/server.py
+++ b/src/wigeonfront/spool/server.py
@@ -26,7 +26,7 @@
 
 
 class SpoolServer:
-    """Takes calls over HTTP.
+    """Serves the spool of a disk over HTTP.
 
     Parameters
     ----------
@@ -43,25 +43,25 @@
             return
         try:
             body = call.body(MAX_CALL_BYTES)
-            asked = msgspec.msgpack.decode(body, type=SpoolRequest)
+            request = msgspec.msgpack.decode(body, type=SpoolRequest)
         except msgspec.DecodeError as error:
             event(logger, "bad_spool_call", reason=str(error)[:200])
             call.reply(BAD_CALL)
             return
-        if isinstance(asked, ListKeys):
-            answer = Keys(tuple(self._file.items_by_key(asked.prefix)))
+        if isinstance(request, ListKeys):
+            answer = Keys(tuple(self._file.items_by_key(request.prefix)))
         else:
-            answer = self._apply(asked)
+            answer = self._apply(request)
         call.reply(OK, msgspec.msgpack.encode(answer))
 
-    def _apply(self, asked: SpoolCall) -> SpoolAnswer:
-        answer = self._file.apply(asked)
+    def _apply(self, request: SpoolCall) -> SpoolAnswer:
+        answer = self._file.apply(request)
         event(
             logger,
             "spool_call",
-            call=type(asked).__name__,
-            key=asked.key,
-            fence=asked.fence,
+            call=type(request).__name__,
+            key=request.key,
+            fence=request.fence,
             answer=type(answer).__name__,
             held=self._file.item_count,
         )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -54,9 +54,9 @@
 
 
 def test_what_a_platform_lays_down_stands_between_the_two():
-    laid_down = NodeSettings("n", "10.0.0.1", "z1", "10.0.0.9:1", cores=0.4)
+    from_platform = NodeSettings("n", "10.0.0.1", "z1", "10.0.0.9:1", cores=0.4)
     given = load(EntrySettings, {"name": "m"}, {"WIGEONFRONT_LEASE_SECONDS": "7"})
-    found = node_settings(given, laid_down)
+    found = node_settings(given, from_platform)
     assert (found.name, found.host, found.cores) == ("m", "10.0.0.1", 0.4)
     assert found.bounds.lease_seconds == 7.0
     assert found.store_address == "10.0.0.9:1"
