--- a/src/wigeonfront/node/assigning.py
+++ b/src/wigeonfront/node/assigning.py
@@ -1,4 +1,4 @@
-"""How an entry takes part in agreeing which machine acts for what."""
+"""An entry's part in the assignment of subjects to the machines that act for them."""
 
 from collections.abc import Callable
 
@@ -20,12 +20,12 @@
 
 
 class MembershipTracker:
-    """Who is registered, and for how long holders have been missing.
+    """Tracks who is registered, and for how long holders have been missing.
 
     Parameters
     ----------
     mirror : Mirror
-        Of the rows of live processes.
+        Mirror of the rows of live processes.
     table : TargetTable
     configuration : ConfigurationFollower
     clock : Clock
@@ -45,7 +45,7 @@
         self._missing_since: dict[str, float] = {}
 
     def view(self, assignment: Assignment | None) -> Present | None:
-        """Return what is seen now; ``None`` while it may be out of date."""
+        """Return the current view; ``None`` while the mirror may be out of date."""
         now = self._clock.monotonic()
         mirror = self._mirror
         if not mirror.ready or mirror.failing:
@@ -56,10 +56,11 @@
         self._note_missing(assignment, registered, now)
         return Present(
             entries=frozenset(member.name for member in entries),
-            staying=frozenset(one.name for one in entries if not one.leaving),
+            staying=frozenset(member.name for member in entries if not member.leaving),
             pinned={member.address: member.name for member in sides},
             subjects=self._engines(),
-            # Leases may have run out while the store was away.
+            # Leases may expire during an outage of the store, so the time that a holder
+            # has to return counts from the end of the outage.
             absent={
                 name: now - max(at, mirror.regained_at)
                 for name, at in self._missing_since.items()
@@ -71,8 +72,8 @@
         rows = self._mirror.state().rows
         of_kind = [row for key, row in rows.items() if key.startswith(prefix)]
         of_kind.sort(key=lambda row: row.revision)
-        found = [decode_member(row, prefix) for row in of_kind]
-        return [member for member in found if member is not None]
+        members = [decode_member(row, prefix) for row in of_kind]
+        return [member for member in members if member is not None]
 
     def _note_missing(
         self, assignment: Assignment | None, registered: set[str], now: float
@@ -95,19 +96,19 @@
 
 
 class EntryAssignment:
-    """The agreed row as this entry knows it, and its part in changing it.
+    """The assignment as this entry knows it, and the task that changes it.
 
     Parameters
     ----------
     settings : NodeSettings
     store : RowStore
     mirror : Mirror
-        Of the rows of live processes.
+        Mirror of the rows of live processes.
     table : TargetTable
     configuration : ConfigurationFollower
     clock : Clock
     on_change : callable
-        Called with each newer row.
+        Called with each newer assignment.
     """
 
     def __init__(
@@ -136,32 +137,32 @@
 
     @property
     def holds(self) -> bool:
-        """Whether this entry is one of those that subjects are divided among."""
+        """Whether this entry is one of the holders that subjects are divided among."""
         current = self._current
         return current is not None and self._name in current.holders.entries
 
     @property
     def revision(self) -> int:
-        """Revision of the agreed row, and the fencing token; 0 while none is known."""
+        """Revision of the assignment, which is the fencing token; 0 while unknown."""
         return self._current.revision if self._current else 0
 
     @property
     def holders(self) -> list[str]:
-        """The machines that act for anything."""
+        """Names of the machines that act for any subject, sorted."""
         holders = self._current.holders if self._current else None
         names = {*holders.entries, *holders.pinned.values()} if holders else set()
         return sorted(names)
 
     def holder(self, subject: str) -> str | None:
-        """Return the machine that acts for a subject; ``None`` while it moves."""
+        """Return the machine that acts for a subject; ``None`` while it is moved."""
         return self._current.holder(subject) if self._current else None
 
     def start(self, supervisor: Supervisor) -> None:
-        """Start the task that keeps the row."""
+        """Start the task that keeps the assignment up to date in the store."""
         supervisor.start("assignment", self._keeper.run)
 
     def on_live(self) -> None:
-        """Take the row that the mirror shows, if it is newer."""
+        """Adopt the assignment in the mirror if it is newer than the known one."""
         row = self._mirror.get(ASSIGNMENT_KEY)
         if row is None or row.revision <= self.revision:
             return
--- a/src/wigeonfront/node/duties.py
+++ b/src/wigeonfront/node/duties.py
@@ -1,4 +1,4 @@
-"""What an entry does for the duties of one machine at a time."""
+"""The duties that one machine holds at a time, as an entry carries them out."""
 
 from collections.abc import Callable
 
@@ -24,7 +24,7 @@
 
 
 class UsageDuty:
-    """An entry's part in reporting usage.
+    """An entry's part in the duty of reporting usage.
 
     Parameters
     ----------
@@ -34,9 +34,9 @@
     me : callable
         Returns this process as a member.
     members : callable
-        Returns the entries that live.
+        Returns the live entries.
     holder : callable
-        Returns the machine that holds a duty, as far as is known.
+        Returns the name of the machine that holds a duty; ``None`` if unknown.
     clock : Clock
     metrics : Registry
     """
@@ -79,25 +79,25 @@
 
     @property
     def last(self) -> int:
-        """The newest window that was taken from this entry; 0 before any."""
+        """Newest window that the platform accepted from this entry; 0 before any."""
         return self._reporter.last_sent
 
     @property
     def answers(self) -> dict[str, Callable[[RawCall], None]]:
-        """The calls of other entries that it answers, by their paths."""
+        """Handlers of the calls of other entries, by path."""
         return {COLLECT_PATH: self._server.collect, COPY_PATH: self._server.copy}
 
     def update_assignment(self, assignment: Assignment) -> None:
-        """Take a newer row of who acts for what."""
+        """Use a newer assignment from now on."""
         self._rights.take(assignment)
 
     def start(self, supervisor: Supervisor) -> None:
-        """Start its tasks."""
+        """Start the tasks of this duty."""
         supervisor.start("usage-copies", self._backup.run)
         supervisor.start("usage-reports", self._reporter.run)
 
     def leave(self) -> None:
-        """Copy what is left, as this process ends."""
+        """Copy the remaining starts to other entries, as this process ends."""
         self._backup.copy()
 
 
@@ -111,7 +111,7 @@
     clock: Clock,
     metrics: Registry,
 ) -> list[UsageDuty]:
-    """Return the parts for the duties that are to be done; see `UsageDuty`."""
+    """Return the duties that the settings ask for; parameters as of `UsageDuty`."""
     if not settings.duty_address or Duty.USAGE not in settings.duties:
         return []
     return [
--- a/src/wigeonfront/node/engine_orders.py
+++ b/src/wigeonfront/node/engine_orders.py
@@ -1,4 +1,4 @@
-"""The engines that an entry orders, on the platform."""
+"""Wires the fleet of engines to which an entry gives orders."""
 
 from wigeonfront.clock import Clock
 from wigeonfront.coordination.assignment import TERM_SECONDS
@@ -22,7 +22,7 @@
     clock: Clock,
     metrics: Registry,
 ) -> EngineFleet:
-    """Return the fleet that `supervisor` runs."""
+    """Return the fleet; its tasks run in a child of `supervisor`."""
     return EngineFleet(
         settings.name,
         supervisor.child("engines"),
--- a/src/wigeonfront/node/engine_place.py
+++ b/src/wigeonfront/node/engine_place.py
@@ -1,4 +1,4 @@
-"""Where a side's engine stands among those of its service."""
+"""The place of a side's engine among the engines of its service."""
 
 from collections.abc import Callable
 
@@ -6,20 +6,24 @@
 from wigeonfront.weights.plan import Place
 
 MIN_REFRESH_SECONDS = 3.0
-"""How long a place is used that was new when it was read: less than a step."""
+"""How long a place is cached that has just changed: less than a step."""
 
 MAX_REFRESH_SECONDS = 30.0
-"""The same for one that has long been the same. Each reading of the list of engines
-costs a call of each side; the place of a gone engine only shifts which half loads."""
+"""How long a place is cached that has not changed for a while. Each refresh costs a
+call of each side. A stale place is harmless: it only shifts which half of the engines
+loads first."""
 
 
 class EnginePlace:
-    """A place that is read again after as long as it has been the same.
+    """A cached place, refreshed after as long as it has been the same.
+
+    The time between two refreshes is bounded by `MIN_REFRESH_SECONDS` and
+    `MAX_REFRESH_SECONDS`.
 
     Parameters
     ----------
     read : callable
-        Returns the place, or ``None`` where it can't be read.
+        Returns the place, or ``None`` if it can't be read.
     clock : Clock
     """
 
@@ -31,7 +35,7 @@
         self._until = self._same_since
 
     def find(self) -> Place:
-        """Return the place, read anew if it is too old."""
+        """Return the place; read it again if the cached one has expired."""
         now = self._clock.monotonic()
         if now >= self._until:
             self._update(self._read(), now)
--- a/src/wigeonfront/node/entry.py
+++ b/src/wigeonfront/node/entry.py
@@ -1,7 +1,7 @@
-"""The entry process on the platform: takes callers' requests and runs Lots.
+"""The entry process: takes callers' requests and runs Lots.
 
 Its supervisor starts three mirrors of the store (operator, targets, live processes),
-the registration, the sending and the keeping of Lots, the taking over of Lots, and the
+the registration, the tasks that send samples, store results and take over Lots, and the
 servers for callers, readiness and metrics.
 """
 
@@ -62,32 +62,34 @@
 logger = logging.getLogger(__name__)
 
 CALL_THREADS = 200
-"""Most calls served at once; a reading of results holds a thread for up to 1 s."""
+"""Maximum of concurrent calls of callers; a read of results holds a thread for up to
+1 s."""
 
 READY_THREADS = 4
 PEER_THREADS = 250
-"""Most calls of other processes at once: each follower waits here with up to three."""
+"""Maximum of concurrent calls of other processes: each follower of the feed has up to
+three waiting calls."""
 
 PEER_CONNECTIONS = 1_000
-"""Idle connections of other processes that are kept open."""
+"""Maximum of idle connections of other processes that are kept open."""
 
 UPKEEP_SECONDS = 0.5
 
 UNREADY_SECONDS = 2.3
-"""Time from the stop signal until no more connections come: the platform asks for
-readiness once a second and takes an entry out after two misses."""
+"""Time from the stop signal until no more connections arrive: the platform checks the
+readiness once a second and takes an entry out of service after two failed checks."""
 
 STOP_RESERVE_SECONDS = 3.0
-"""Time kept from the allowed stop for handing over Lots and closing: a store that is
-silent takes a second of it."""
+"""Part of the allowed stop time reserved for handing over Lots and for closing: a store
+that does not answer takes a second of it."""
 
 HAND_OVER_SECONDS = 1.5
-"""Part of that time in which a store that is away is asked again."""
+"""Part of the reserve in which calls to an unavailable store are retried."""
 
 CALLER_SERVERS = ("front", "api")
 
 CLOSE_SECONDS = 0.5
-"""Time that calls get to end after the listener is closed."""
+"""Time in which calls may end after the listener is closed."""
 
 
 class EntryNode:
@@ -98,7 +100,7 @@
     settings : NodeSettings
     clock : Clock
     drain : callable
-        Begins a planned stop, as a stop signal does.
+        Starts a planned stop, as a stop signal does.
     """
 
     def __init__(
@@ -186,7 +188,7 @@
         self._servers = self._make_servers()
         self._metrics_page = MetricsPage(settings.host, METRICS_PORT, self._metrics)
 
-    # --- its parts -----------------------------------------------------------
+    # --- parts ---------------------------------------------------------------
 
     def _make_registration(self) -> Registration:
         settings = self._settings
@@ -283,7 +285,7 @@
         )
 
     def _make_servers(self) -> dict[str, RawServer]:
-        """Return the servers by their task's name."""
+        """Return the servers by the names of their tasks."""
         settings = self._settings
         servers = {
             "ready": RawServer(
@@ -355,7 +357,7 @@
             metrics,
         )
 
-    # --- what it does --------------------------------------------------------
+    # --- operation -----------------------------------------------------------
 
     @property
     def ready(self) -> bool:
@@ -368,11 +370,11 @@
 
     @property
     def failed(self) -> bool:
-        """Whether its tasks can't go on."""
+        """Whether a task has failed for good."""
         return self._supervisor.failed
 
     def start(self) -> None:
-        """Listen and start all tasks."""
+        """Bind all servers and start all tasks."""
         for server in self._servers.values():
             server.bind()
         start = self._supervisor.start
@@ -396,7 +398,7 @@
         start("metrics", self._metrics_page.run)
 
     def stop(self) -> None:
-        """Finish what callers wait for, hand over the Lots, and end."""
+        """Finish open calls and Lots, hand over the Lots that are left, and close."""
         began = self._clock.monotonic()
         self._stopping = True
         self._lots.leave()
@@ -404,11 +406,13 @@
         for server in self._caller_servers():
             server.close_kept_alive()
         event(logger, "stopping", lots=len(self._runner.owned_ids()))
-        last = began + self._settings.bounds.stop_seconds - STOP_RESERVE_SECONDS
+        work_deadline = (
+            began + self._settings.bounds.stop_seconds - STOP_RESERVE_SECONDS
+        )
         self._clock.sleep(UNREADY_SECONDS)
-        while self._runner.has_open_lots() and self._clock.monotonic() < last:
+        while self._runner.has_open_lots() and self._clock.monotonic() < work_deadline:
             self._clock.sleep(0.1)
-        self._lots.hand_over(last + HAND_OVER_SECONDS)
+        self._lots.hand_over(work_deadline + HAND_OVER_SECONDS)
         close_all(self._caller_servers(), CLOSE_SECONDS)
         for duty in self._duties:
             duty.leave()
@@ -416,7 +420,7 @@
         event(logger, "drained", seconds=self._clock.monotonic() - began)
 
     def close(self) -> None:
-        """Close all servers at once, and end all tasks."""
+        """Close all servers without a grace time, and end all tasks."""
         close_all((*self._servers.values(), self._metrics_page.server), 0.0)
         self._supervisor.stop()
 
@@ -433,7 +437,10 @@
         self._fleet.update()
 
     def _on_version(self, named: NamedVersion) -> None:
-        """Send few samples to engines that load: those that don't fit are refused."""
+        """Expect a load at each engine that loads this version.
+
+        A loading engine refuses samples that do not fit, so it is sent only few.
+        """
         self._fleet.version_named()
         loading = self._fleet.places.loading(named)
         for target in self._table.all_targets():
@@ -450,8 +457,8 @@
         self._connections.cut(id)
 
     def _is_first_member(self) -> bool:
-        """Return whether this entry does what one entry should do for all."""
-        names = [one.name for one in self._view.members() if not one.leaving]
+        """Return whether this entry does the work that one entry does for all."""
+        names = [member.name for member in self._view.members() if not member.leaving]
         return min(names, default="") == self._settings.name
 
     def _on_targets(self) -> None:
@@ -466,7 +473,7 @@
         self._lots.owners_changed()
 
     def _upkeep(self, stop: threading.Event) -> None:
-        """Close idle connections and drop lapsed registrations."""
+        """Close idle connections and drop expired registrations."""
         while not stop.wait(UPKEEP_SECONDS):
             self._connections.close_idle()
             self._targets.expire(self._view.targets)
@@ -476,5 +483,5 @@
 
 
 def run(settings: NodeSettings) -> int:
-    """Run an entry until it is told to stop; return the exit code."""
+    """Run an entry until it gets a stop signal; return the exit code."""
     return run_node(EntryNode(settings, SystemClock()), "entry", settings.name)
--- a/src/wigeonfront/node/following.py
+++ b/src/wigeonfront/node/following.py
@@ -1,4 +1,4 @@
-"""Follows what the operator and the targets write: configuration, targets, versions."""
+"""Follows rows of the store: the configuration, the named versions and the targets."""
 
 import logging
 import threading
@@ -17,18 +17,18 @@
 logger = logging.getLogger(__name__)
 
 REREGISTRATION_SECONDS = 2.3
-"""How long a registration that vanished around an outage of the store is still held
-valid: targets that live are registered again within about two seconds."""
+"""How long a registration that vanished around an outage of the store still counts as
+valid: live targets register again within about two seconds."""
 
 
 class BadRowLog:
-    """Logs rows that can't be used, once for each change of them."""
+    """Logs invalid rows, once for each revision of a row."""
 
     def __init__(self) -> None:
         self._logged: dict[str, int] = {}
 
     def log_once(self, row: Row, bad: records.BadRow) -> None:
-        """Log a row unless it was logged as it is now."""
+        """Log a row unless this revision of it has been logged."""
         if self._logged.get(row.key) == row.revision:
             return
         self._logged[row.key] = row.revision
@@ -42,21 +42,21 @@
         )
 
     def keep_only(self, keys: Container[str]) -> None:
-        """Forget the rows that are gone."""
+        """Forget the rows whose keys are not among `keys`."""
         for key in [key for key in self._logged if key not in keys]:
             del self._logged[key]
 
 
 class ConfigurationFollower:
-    """The newest configuration and the named versions; they never go backwards.
+    """Keeps the newest configuration and named versions, and ignores older ones.
 
     Parameters
     ----------
     clock : Clock
     on_configuration, on_version : callable
-        Called with each newer one.
+        Called with each newer configuration, and with each newer version of a model.
     with_accounts : bool
-        Client accounts are wanted, which a process without callers does not need.
+        Whether to decode the client accounts; a process without callers needs none.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before the first is known."""
+        """Version of the configuration in force; 0 before the first is known."""
         return self._current.version if self._current else 0
 
     def services(self) -> list[str]:
@@ -89,11 +89,11 @@
         return sorted(self._current.services) if self._current else []
 
     def versions(self) -> list[NamedVersion]:
-        """Return the newest version of each model."""
+        """Return the newest named version of each model."""
         return list(self._versions.values())
 
     def update(self, mirror: Mirror) -> None:
-        """Take what the operator's rows say now."""
+        """Apply the current rows of the operator."""
         state = mirror.state()
         row = state.rows.get(records.CONFIGURATION_KEY)
         if row is not None:
@@ -140,7 +140,7 @@
 
 
 class TargetFollower:
-    """Hands the registered targets to the table.
+    """Keeps the target table in line with the registered targets.
 
     Parameters
     ----------
@@ -149,8 +149,8 @@
     on_change : callable
         Called after each change.
     on_gone : callable
-        Called with the id of each target that certainly runs no more: it has started
-        again, or another one has its address.
+        Called with the id of each target that has certainly ended: it has started
+        again under a new id, or another target has its address.
     """
 
     def __init__(
@@ -167,12 +167,12 @@
         self._lock = threading.Lock()
         self._known: dict[str, Target] = {}
         self._missing_since: dict[str, float] = {}
-        # Newest start that was heard of, in Unix ms, also of targets that are gone.
+        # Newest known start of each target in Unix ms, also of targets that are gone.
         self._starts: dict[str, int] = {}
         self._bad_rows = BadRowLog()
 
     def update(self, mirror: Mirror) -> None:
-        """Take what the targets' rows say now."""
+        """Apply the current rows of the targets."""
         rows = mirror.state().rows
         with self._lock:
             registered = self._registered(rows)
@@ -188,9 +188,9 @@
         self._on_change()
 
     def _registered(self, rows: Mapping[str, Row]) -> dict[str, Target]:
-        """Return the targets that the rows name, by their ids."""
+        """Return the targets that the rows register, by their ids."""
         self._bad_rows.keep_only(rows)
-        known = {one.name: one for one in self._known.values()}
+        known = {target.name: target for target in self._known.values()}
         found: dict[str, Target] = {}
         revisions: dict[str, int] = {}
         for key, row in rows.items():
@@ -201,8 +201,10 @@
                 self._bad_rows.log_once(row, target)
                 continue
             if target.started_ms < self._starts.get(target.name, 0):
-                # The last words of an incarnation that has ended, written late.
-                self._bad_rows.log_once(row, records.BadRow("of an earlier start"))
+                # A late write of an incarnation that has ended.
+                self._bad_rows.log_once(
+                    row, records.BadRow("written by an earlier incarnation")
+                )
                 if target.name not in known:
                     continue
                 target = known[target.name]
@@ -213,7 +215,7 @@
         return newest_at_address(found, revisions)
 
     def expire(self, mirror: Mirror) -> None:
-        """Drop registrations that did not come back after an outage."""
+        """Drop registrations that were not renewed in time after an outage."""
         with self._lock:
             waiting = bool(self._missing_since)
         if waiting:
@@ -222,7 +224,7 @@
     def _still_valid(
         self, registered: dict[str, Target], mirror: Mirror
     ) -> dict[str, Target]:
-        """Return vanished targets that may only have lapsed in an outage."""
+        """Return vanished targets whose lease may only have expired in an outage."""
         now = self._clock.monotonic()
         gone = [id for id in self._known if id not in registered]
         self._missing_since = {id: self._missing_since.get(id, now) for id in gone}
@@ -241,15 +243,19 @@
             else:
                 del self._missing_since[id]
         taken = {target.address for target in registered.values()}
-        return {id: one for id, one in kept.items() if one.address not in taken}
+        return {
+            id: target for id, target in kept.items() if target.address not in taken
+        }
 
     def _log(self, registered: dict[str, Target]) -> None:
-        """Log a summary, and in full what was used here or is new to leave.
+        """Log a summary of the changes, and each change of a target that was used here.
 
-        Each process hears of each target: lines for all would grow with the square of
-        the deployment.
+        Each process learns of each target, so a line for every change of a target would
+        make the number of lines grow with the square of the deployment's size.
         """
-        changed = [one for id, one in registered.items() if self._known.get(id) != one]
+        changed = [
+            target for id, target in registered.items() if self._known.get(id) != target
+        ]
         gone = [id for id in self._known if id not in registered]
         for target in changed:
             if self._table.used(target.id):
@@ -257,15 +263,15 @@
         for id in gone:
             if self._table.used(id):
                 event(logger, "target_gone", id=id)
-        come = sum(one.id not in self._known for one in changed)
-        if come or gone:
+        added = sum(target.id not in self._known for target in changed)
+        if added or gone:
             event(
                 logger,
                 "targets",
                 known=len(registered),
-                come=come,
+                come=added,
                 gone=len(gone),
-                draining=sum(one.draining for one in registered.values()),
+                draining=sum(target.draining for target in registered.values()),
             )
 
 
@@ -283,17 +289,18 @@
 def newest_at_address(
     targets: dict[str, Target], revisions: dict[str, int]
 ) -> dict[str, Target]:
-    """Return the targets without those that another one has replaced.
+    """Return the targets; of several at one address, only the newest.
 
-    A target that lost power stays registered until its lease ends, up to 3.6 s after
-    the next one has registered at its address; only the newest still writes.
+    A target that lost power stays registered until its lease expires, up to 3.6 s after
+    its successor has registered at the same address. Only the newest target at an
+    address still writes its row.
 
     Parameters
     ----------
     targets : dict of str to Target
-        By their ids.
+        Targets by their ids.
     revisions : dict of str to int
-        Revision of each registration's last write.
+        Revision of the last write of each registration, by the target's id.
     """
     newest: dict[str, str] = {}
     for id, target in targets.items():
@@ -307,9 +314,9 @@
 def replaced_targets(
     known: Collection[Target], registered: Collection[Target]
 ) -> list[str]:
-    """Return the ids of targets that others have replaced for certain.
+    """Return the ids of the targets that have certainly been replaced.
 
-    Registrations that merely vanish prove nothing: such a target may serve on.
+    A registration that merely vanishes proves nothing: its target may still serve.
     """
     by_name = {target.name: target for target in registered}
     by_address = {target.address: target for target in registered}
--- a/src/wigeonfront/node/interface.py
+++ b/src/wigeonfront/node/interface.py
@@ -1,4 +1,4 @@
-"""Puts the product's own interface together from the parts of an entry."""
+"""Wires the product's own HTTP interface to the parts of an entry."""
 
 import logging
 from collections.abc import Callable
@@ -32,17 +32,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InterfaceParts:
-    """Parts of an entry that its interface calls.
+    """The parts of an entry that its interface uses.
 
     Attributes
     ----------
     name : str
-        Of the machine.
+        Name of the machine.
     me : callable
         Returns this process as a member.
     ready : callable
+        Returns whether callers may be sent here.
     drain : callable
-        Begins a planned stop.
+        Starts a planned stop.
     """
 
     name: str
@@ -64,7 +65,7 @@
 
 
 def make_api(parts: InterfaceParts) -> ApiFront:
-    """Return the interface, which remembers the log from now on."""
+    """Return the interface, which keeps the log events from now on for `explain`."""
     samples = PlatformSamples()
     callers = Callers(parts.gate)
     requests = RequestCalls(
@@ -111,7 +112,7 @@
         mirror=parts.view.live,
         versions=parts.configuration.versions,
         order_holders=lambda: parts.assigning.holders,
-        duties=lambda: [_duty(one, parts.assigning) for one in parts.duties],
+        duties=lambda: [_duty_status(duty, parts.assigning) for duty in parts.duties],
         services=parts.configuration.services,
         table=parts.table,
         lots=parts.lots,
@@ -119,6 +120,6 @@
     return OperatorCalls(deployment, remembered.find, parts.drain)
 
 
-def _duty(part: UsageDuty, assigning: EntryAssignment) -> DutyStatus:
-    holder = assigning.holder(part.subject) or ""
-    return DutyStatus(part.subject, holder, assigning.revision, part.last)
+def _duty_status(duty: UsageDuty, assigning: EntryAssignment) -> DutyStatus:
+    holder = assigning.holder(duty.subject) or ""
+    return DutyStatus(duty.subject, holder, assigning.revision, duty.last)
--- a/src/wigeonfront/node/loading.py
+++ b/src/wigeonfront/node/loading.py
@@ -1,4 +1,4 @@
-"""From flags, environment and a platform's file to the settings of a process."""
+"""Merges flags, the environment and a platform's file into a process's settings."""
 
 from dataclasses import fields, replace
 
@@ -40,20 +40,20 @@
     "data_folder": "data_folder",
     "log_level": "log_level",
 }
-"""Field of `NodeSettings` that a setting gives."""
+"""Field of `NodeSettings` that each setting sets."""
 
 
 def node_settings(
     given: ProcessSettings, from_platform: NodeSettings | None
 ) -> NodeSettings | Rejected:
-    """Return the settings of a process, or what is missing.
+    """Return the settings of a process, or the required settings that are missing.
 
     Parameters
     ----------
     given : ProcessSettings
-        What flags and environment say.
+        Settings from flags and the environment; these take precedence.
     from_platform : NodeSettings or None
-        What a platform's file says.
+        Settings from a platform's file; ``None`` if there is no such file.
     """
     if from_platform is None:
         missing = tuple(_missing(given))
@@ -70,9 +70,9 @@
     if given.memory_mb is not None:
         changes["memory_bytes"] = given.memory_mb * MEBIBYTE
     bounds = {
-        each.name: value
-        for each in fields(Bounds)
-        if (value := getattr(given, each.name, None)) is not None
+        bound.name: value
+        for bound in fields(Bounds)
+        if (value := getattr(given, bound.name, None)) is not None
     }
     return replace(base, bounds=replace(base.bounds, **bounds), **changes)
 
@@ -82,7 +82,7 @@
     if isinstance(given, StorageSettings) and given.data_folder is not None:
         required += ("peer_address",)
     accepted = {
-        each.name: each.metadata["setting"].accepted for each in fields(type(given))
+        field.name: field.metadata["setting"].accepted for field in fields(type(given))
     }
     missing = [
         BadSetting(name, f"{flag(name)} or {variable(name)}", None, accepted[name])
--- a/src/wigeonfront/node/metrics_page.py
+++ b/src/wigeonfront/node/metrics_page.py
@@ -6,7 +6,7 @@
 from wigeonfront.observability.metrics import Registry
 
 METRICS_PORT = 9464
-"""Port of the metrics page, the usual one of exporters of this format."""
+"""Port of the metrics page; exporters of this format usually have it."""
 
 METRICS_PATH = "/metrics"
 TEXT_TYPE = "text/plain; version=0.0.4"
@@ -14,7 +14,7 @@
 
 
 class MetricsPage:
-    """The page.
+    """HTTP server of the metrics page.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
     Attributes
     ----------
     server : RawServer
-        Closed by the process that it belongs to.
+        The page's server, which the process closes when it stops.
     """
 
     def __init__(self, host: str, port: int, registry: Registry) -> None:
@@ -33,7 +33,7 @@
         self.server = RawServer(f"{host}:{port}", self._answer, THREADS)
 
     def run(self, stop: threading.Event) -> None:
-        """Serve the page (a supervisor's task)."""
+        """Serve the page until `stop` is set; a task of a supervisor."""
         self.server.bind()
         self.server.run(stop)
 
--- a/src/wigeonfront/node/peer_calls.py
+++ b/src/wigeonfront/node/peer_calls.py
@@ -1,4 +1,4 @@
-"""The calls that the system's processes make to each other."""
+"""Handles the calls that the system's processes make to each other."""
 
 from collections.abc import Callable, Mapping
 
@@ -18,7 +18,7 @@
 
 
 class PeerCalls:
-    """Answers the calls of other processes.
+    """Dispatches the calls of other processes by their paths.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
     loads : LoadServer
     version : VersionServer
     more : mapping of str to callable
-        Further calls by their paths.
+        Handlers of further calls, by path.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         }
 
     def answer(self, call: RawCall) -> None:
-        """Answer one call."""
+        """Answer a call; with 404 if its path is unknown."""
         answer = self._answers.get(call.path)
         if answer is None:
             call.reply(404)
--- a/src/wigeonfront/node/process.py
+++ b/src/wigeonfront/node/process.py
@@ -1,4 +1,4 @@
-"""Runs a process until it is told to stop."""
+"""Runs a process until it gets a stop signal or fails."""
 
 import logging
 import signal
@@ -10,37 +10,37 @@
 logger = logging.getLogger(__name__)
 
 FAILURE_POLL_SECONDS = 0.5
-"""How often the supervisor is looked at; a stop signal is noticed at once."""
+"""Time between two checks for a failed supervisor; stop signals are seen at once."""
 
 STOPPED, FAILED = 0, 1
 
 
 class Node(Protocol):
-    """A process of one role."""
+    """A process with one role: entry, side or storage."""
 
     @property
     def failed(self) -> bool:
-        """Whether its tasks can't go on."""
+        """Whether a task has failed for good."""
 
     def start(self) -> None:
         """Start all tasks."""
 
     def stop(self) -> None:
-        """Finish and end all tasks."""
+        """Finish open work and end all tasks."""
 
 
 def stop_this_process() -> None:
-    """Begin a planned stop, as the platform's stop signal does."""
+    """Start a planned stop of this process, as the platform's stop signal does."""
     signal.raise_signal(signal.SIGTERM)
 
 
 def run_node(node: Node, role: str, name: str) -> int:
-    """Run `node` until it is told to stop or has failed; return the exit code.
+    """Run `node` until it gets a stop signal or has failed; return the exit code.
 
     Parameters
     ----------
     role, name : str
-        Written in the logs.
+        Role and name of the process, for the log.
     """
     stop_signal = StopSignal()
     stop_signal.install()
--- a/src/wigeonfront/node/settings.py
+++ b/src/wigeonfront/node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process on the platform, whatever their format there."""
+"""Settings of a process, independent of the format in which the platform gives them."""
 
 from dataclasses import dataclass
 
@@ -7,32 +7,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times that the users have agreed, in seconds.
+    """Time bounds and options that the users have agreed on; times in seconds.
 
     Attributes
     ----------
     stop_seconds : float
-        From the stop signal until the process is killed.
+        Time from the stop signal until the process is killed.
     drain_seconds : float
-        Within which a leaving target gets no new work.
+        Time after which a draining target must get no new work.
     configuration_seconds : float
-        Within which a change is in force.
+        Time after which a change of the configuration must be in force.
     order_seconds : float
-        Within which two holders may not both give orders to a target.
+        Period in which no two holders may give orders to the same target.
     result_seconds : float
-        How long results stay readable after a Lot's submission.
+        Time for which results stay readable after a Lot's submission.
     lease_seconds : float
-        Term of the lease by which a process is known to live.
+        Term of the lease that shows that a process is alive.
     fenced : bool
-        Targets check fencing tokens.
+        Whether targets check fencing tokens.
     strict_revoke : bool
-        Calls with an API key are refused by an entry whose configuration has not been
-        confirmed for `revoke_seconds`.
+        Whether an entry refuses calls with an API key once its configuration has not
+        been confirmed for `revoke_seconds`.
     revoke_seconds : float
+        Longest age of the configuration for such calls.
     usage_window_seconds : float
         Length of the windows in which usage is counted.
     usage_due_seconds : float
-        After a window's end, within which its usage is due.
+        Time after a window's end by which its usage must be reported.
     """
 
     stop_seconds: float = 8.0
@@ -50,44 +51,44 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a process knows at its start.
+    """The settings that a process has at its start.
 
     Attributes
     ----------
     name : str
-        Of the machine.
+        Name of the machine.
     host : str
-        IP number of the machine.
+        IP address of the machine.
     failure_domain : str
     front_address, api_address, ready_address : str
         ``host:port`` for the platform's callers, for callers of the product's own
-        interface, and for readiness; empty where not served.
+        interface, and for readiness checks; empty where not served.
     peer_address : str
-        ``host:port`` on which the system's other processes call this one.
+        ``host:port`` at which other processes of the system call this one.
     seed_addresses : tuple of str
-        Where some of the other processes could be called at this one's start.
+        Addresses of some other processes, as of this process's start.
     store_address : str
         ``host:port`` of the platform's store.
     store_value_bytes : int
-        Largest value of a row.
+        Largest size of a row's value, in bytes.
     target_address : str
         ``host:port`` of the target on this machine; empty where there is none.
     service : str
-        Service of that target.
+        Service that the target belongs to.
     data_folder : str
-        Folder of the disk; empty where there is none.
+        Folder on the disk for the spool; empty where there is none.
     duty_address : str
-        ``host:port`` of the platform for duties of one machine; empty for none.
+        ``host:port`` of the platform's interface for duties; empty where there is none.
     duties : frozenset of Duty
-        Duties that are to be done.
+        Duties that the entries carry out.
     tolerated_losses : int
-        Disks that may be lost at the same time.
+        Number of disks that may be lost at the same time.
     memory_bytes : int
-        Memory above which the process is killed.
+        Memory in bytes above which the process is killed.
     cores : float
-        Processor time that the machine gives, in cores.
+        Processor share of the machine, in cores.
     log_level : str
-        Lowest level that is logged.
+        Lowest level of the events that are logged.
     bounds : Bounds
     """
 
--- a/src/wigeonfront/node/side.py
+++ b/src/wigeonfront/node/side.py
@@ -1,7 +1,7 @@
-"""The side process on the platform: moves its engine to the named versions.
+"""The side process: makes the engine beside it load the named versions of its models.
 
-Its supervisor starts the mirror of the named versions, the registration, the mover and
-the metrics page.
+Its supervisor starts the mirror of the operator's rows, which have the named versions,
+the registration, the mover and the metrics page.
 """
 
 import logging
@@ -34,7 +34,7 @@
 
 VERSION_PAUSE_SECONDS = 0.1
 VERSION_WATCH_SECONDS = 4.0
-"""How long a watch waits: a step's time, in which a missed version is found out."""
+"""Time that one watch waits: about a step, after which a missed version is noticed."""
 
 
 class SideNode:
@@ -98,7 +98,7 @@
 
     @property
     def failed(self) -> bool:
-        """Whether its tasks can't go on."""
+        """Whether a task has failed for good."""
         return self._supervisor.failed
 
     def start(self) -> None:
@@ -110,21 +110,23 @@
         self._supervisor.start("call-log", self._meter.log_loop)
 
     def stop(self) -> None:
-        """End all tasks; an order in progress is the engine's own."""
+        """End all tasks; the engine completes an order in progress by itself."""
         self._supervisor.stop()
 
     def _on_version(self, named: NamedVersion) -> None:
         self._mover.wake()
 
     def _read_place(self) -> Place | None:
-        """Return the place among the service's engines, from a listing that may be old.
+        """Return the engine's place in its service, or ``None`` without an answer.
 
-        An engine that is missing or counted too many shifts which half loads.
+        The listing may be stale: an engine too many or too few only shifts which half
+        of the engines loads first.
         """
         listing = self._store.list(records.TARGET_PREFIX, stale=True)
         if isinstance(listing, Unavailable):
             return None
-        # One that is gone may still be registered beside the next at its address.
+        # A target that is gone may still be registered beside its successor at the same
+        # address.
         targets = [
             records.decode_target(
                 row.key.removeprefix(records.TARGET_PREFIX), row.value
@@ -151,5 +153,5 @@
 
 
 def run(settings: NodeSettings) -> int:
-    """Run a side until it is told to stop; return the exit code."""
+    """Run a side until it gets a stop signal; return the exit code."""
     return run_node(SideNode(settings, SystemClock()), "side", settings.name)
--- a/src/wigeonfront/node/stopping.py
+++ b/src/wigeonfront/node/stopping.py
@@ -1,11 +1,11 @@
-"""Planned stops: SIGTERM and SIGINT begin a graceful shutdown."""
+"""Planned stops: SIGTERM and SIGINT start a graceful shutdown."""
 
 import signal
 import threading
 
 
 class StopSignal:
-    """Set once the process is told to stop."""
+    """An event that is set once the process is told to stop."""
 
     def __init__(self) -> None:
         self._event = threading.Event()
@@ -16,11 +16,11 @@
         signal.signal(signal.SIGINT, self._handle)
 
     def wait(self, timeout: float) -> bool:
-        """Wait up to `timeout` seconds; return whether the stop was asked for."""
+        """Wait up to `timeout` seconds; return whether a stop was requested."""
         return self._event.wait(timeout)
 
     def set(self) -> None:
-        """Ask for the stop."""
+        """Request a stop."""
         self._event.set()
 
     def _handle(self, number: int, frame: object) -> None:
--- a/src/wigeonfront/node/storage.py
+++ b/src/wigeonfront/node/storage.py
@@ -1,8 +1,9 @@
 """The storage process: serves the spool on its disk.
 
-Its supervisor starts the server of the spool, its upkeep, the registration by which
-entries find it, a look at Lots that are here and not in the store, and a mirror that
-tells when its machine is to be emptied. Without a disk it only follows that.
+Its supervisor starts the server and the upkeep of the spool, the registration by which
+entries find the process, the recovery of Lots that are on the disk but not in the
+store, and a mirror that tells when the machine is to be retired. Without a disk, the
+process only answers the retirement.
 """
 
 import logging
@@ -37,7 +38,7 @@
 
 WATCH_PAUSE_SECONDS = 0.2
 WATCH_SECONDS = 4.0
-"""How long a watch waits: less than half of the time given for emptying a machine."""
+"""Time that one watch waits: less than half of the time given to retire a machine."""
 
 SPOOL_THREADS = 32
 UPKEEP_SECONDS = 1.0
@@ -99,7 +100,8 @@
             self._clock,
             prefix=STORAGE_PREFIX,
             failure_domain=settings.failure_domain,
-            # A Lot names its disks: nobody takes over from one that is gone.
+            # Never busy: a Lot names its disks, so no other process takes over the work
+            # of a lost one.
             busy=lambda: False,
             incarnation=disk,
             lasting_prefix=DISK_PREFIX,
@@ -107,7 +109,7 @@
 
     @property
     def failed(self) -> bool:
-        """Whether its tasks can't go on."""
+        """Whether a task has failed for good."""
         return self._supervisor.failed
 
     def start(self) -> None:
@@ -129,7 +131,7 @@
             self._spool.close()
 
     def _upkeep(self, stop: threading.Event) -> None:
-        """Shorten the file, and say so once a machine is empty that is to be."""
+        """Maintain the spool file, and answer a retirement once the disk is empty."""
         while not stop.wait(UPKEEP_SECONDS):
             if self._spool is not None:
                 self._spool.upkeep()
@@ -140,9 +142,9 @@
         row = mirror.get(records.RETIRE_PREFIX + self._settings.name)
         if row is None or row.revision in self._answered:
             return
-        within = records.decode_retire(row.value)
-        if isinstance(within, records.BadRow):
-            self._bad_rows.log_once(row, within)
+        seconds = records.decode_retire(row.value)
+        if isinstance(seconds, records.BadRow):
+            self._bad_rows.log_once(row, seconds)
             return
         self._retired_at = row.revision
         if self._spool is not None:
@@ -150,7 +152,10 @@
         self._answer_retire()
 
     def _answer_retire(self) -> None:
-        """Tell that nothing is left here that exists nowhere else, if that is so."""
+        """Report the machine as retired if its disk has no items left.
+
+        Items on the disk may exist nowhere else, so the report waits for them.
+        """
         held = self._spool.item_count if self._spool is not None else 0
         if held:
             return
@@ -167,5 +172,5 @@
 
 
 def run(settings: NodeSettings) -> int:
-    """Run a storage process until it is told to stop; return the exit code."""
+    """Run a storage process until it gets a stop signal; return the exit code."""
     return run_node(StorageNode(settings, SystemClock()), "storage", settings.name)
--- a/src/wigeonfront/node/store_view.py
+++ b/src/wigeonfront/node/store_view.py
@@ -1,4 +1,4 @@
-"""What an entry sees of the platform's store, kept up to date by three mirrors."""
+"""An entry's view of the platform's store, kept up to date by three mirrors."""
 
 import logging
 
@@ -30,31 +30,32 @@
 LIVE_PREFIX = "live/"
 
 TARGET_PAUSE_SECONDS = 0.4
-"""Time in which changes of registrations gather: a fifth of the time in which a
-leaving target must get no new work."""
+"""Pause between two watches of the targets, which coalesces their changes: a fifth of
+the time after which a draining target must get no new work."""
 
 LIVE_PAUSE_SECONDS = 0.3
 LIVE_WATCH_SECONDS = 3.0
-"""How long a watch of owners and members waits: within it a missed change, such as
-the end of a Lot, is found out, and a trainer's end must hold within 3 s."""
+"""Time that one watch of owners and members waits, after which a missed change is
+noticed, such as the end of a Lot: a trainer's end of a Lot must hold within 3 s."""
 
 WATCH_SHARE = 0.5
-"""Share of the time in which a change must be in force for which one watch waits."""
+"""Time that one watch waits, as a share of the time in which a change must be in
+force."""
 
 
 class StoreView:
-    """The mirrors of an entry, and what follows from them.
+    """The mirrors of an entry, and the processes that are known from them.
 
     Parameters
     ----------
     settings : NodeSettings
     store : RowStore
     registration : Registration
-        Of this process.
+        Registration of this process.
     clock : Clock
     on_operator, on_targets, on_live : callable
-        Called with the mirror whose rows have changed: the configuration and the named
-        versions, the registered targets, the processes that live.
+        Called with a mirror whose rows have changed: of the configuration and the named
+        versions, of the registered targets, or of the live processes.
     """
 
     def __init__(
@@ -79,7 +80,9 @@
     @property
     def mirrors(self) -> dict[str, Mirror]:
         """All mirrors, by the prefix of their keys."""
-        return {one.prefix: one for one in (self.operator, self.targets, self.live)}
+        return {
+            mirror.prefix: mirror for mirror in (self.operator, self.targets, self.live)
+        }
 
     def start(self, supervisor: Supervisor) -> None:
         """Start a task for each mirror."""
@@ -88,7 +91,7 @@
         supervisor.start("live-mirror", self.live.run)
 
     def members(self) -> list[Member]:
-        """Return the entries that live."""
+        """Return the live entries."""
         rows = self.live.state().rows
         found = {
             member.name: member
@@ -96,14 +99,14 @@
             if key.startswith(ENTRY_PREFIX)
             and (member := decode_member(row)) is not None
         }
-        # The mirror tells of it up to 0.3 s later, in which Lots would wait.
+        # The mirror shows this entry up to 0.3 s late, for which its Lots would wait.
         if self._registration.registered:
             me = self._registration.member
             found[me.name] = me
         return list(found.values())
 
     def disks(self) -> list[Member]:
-        """Return the processes with a disk."""
+        """Return the registered storage processes."""
         rows = self.live.state().rows
         return [
             member
@@ -113,7 +116,7 @@
         ]
 
     def disk_registrations(self) -> DisksSeen:
-        """Return what is known of processes with a disk, registered or not."""
+        """Return the addresses of registered disks and the names of absent ones."""
         registered = self.disks()
         names = {member.name for member in registered}
         rows = self.live.state().rows
@@ -138,7 +141,7 @@
         return [address for address in candidates if address != own]
 
     def restore_registration(self) -> None:
-        """Have this process registered again where its row is missing."""
+        """Register this process again if its row is missing."""
         if not self._registration_missing():
             return
         incarnation = self._registration.member.incarnation
@@ -146,9 +149,10 @@
         self._registration.restore()
 
     def _registration_missing(self) -> bool:
-        """Tell whether the mirror should know this process's registration, and not.
+        """Return whether the mirror lacks a registration that it should have.
 
-        A mirror that is older than it tells of the last incarnation, or of none.
+        A mirror older than the registration says nothing: it has the row of the last
+        incarnation, or none.
         """
         registration = self._registration
         if not registration.registered or self.live.revision < registration.revision:
@@ -191,11 +195,11 @@
         )
 
     def _rows(self, interval: float) -> RowSource:
-        """Return what a mirror reads from: another entry's mirror, or the store."""
+        """Return the source of a mirror: another entry's mirror, or the store."""
         direct = DirectRows(self._store)
         return FollowedRows(direct, self._sources, self._clock, interval)
 
     def _sources(self) -> list[str]:
-        """Return the entries to follow."""
+        """Return the addresses of the entries whose mirrors to follow."""
         seeds = self._settings.seed_addresses
         return feed_sources(self._registration.member, self.members(), seeds)
