--- a/tests/deployed.py
+++ b/tests/deployed.py
@@ -1,4 +1,4 @@
-"""A small deployment in this process, over real sockets, on stand-ins."""
+"""A small deployment in this process, over real sockets, with platform stand-ins."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -46,7 +46,7 @@
         return entry
 
     def make_entry(self, name, seeds=(), store=None, **fields):
-        """Return an entry in a failure domain of its own, unless told otherwise."""
+        """Return an entry, by default in a failure domain of its own."""
         host = loopback_host()
         front, ready, peer = free_ports(host, 3)
         drain = fields.pop("drain", lambda: None)
@@ -65,7 +65,7 @@
         return EntryNode(settings, SystemClock(), drain)
 
     def add_side(self, name, engine):
-        """Start a side beside an engine."""
+        """Start a side for an engine."""
         settings = NodeSettings(
             name=name,
             host=loopback_host(),
@@ -81,7 +81,7 @@
         return side
 
     def add_disk(self, name, folder, host="", port=0):
-        """Start a storage process with its disk, in a failure domain of its own."""
+        """Start a storage process with a disk, in a failure domain of its own."""
         host = host or loopback_host()
         settings = NodeSettings(
             name=name,
@@ -98,13 +98,13 @@
         return disk
 
     def ended_at(self, sample):
-        """Return the moment at which the last event of a sample was made."""
+        """Return the time at which the last event of a sample was generated."""
         return max(engine.ended_at.get(sample, 0.0) for engine in self.engines)
 
     def close(self):
         servers = (*self.engines, self.plain, self.store)
-        closing = [each.close for each in self.entries]
-        closing += [each.stop for each in (*self.sides, *self.disks, *servers)]
+        closing = [entry.close for entry in self.entries]
+        closing += [node.stop for node in (*self.sides, *self.disks, *servers)]
         with ThreadPoolExecutor() as executor:
             for closed in [executor.submit(close) for close in closing]:
                 closed.result()
--- a/tests/test_assigning.py
+++ b/tests/test_assigning.py
@@ -1,4 +1,4 @@
-"""Who counts as missing, by what an entry sees of the store."""
+"""Tests of how long a holder counts as missing, from an entry's mirror of the store."""
 
 import pytest
 
@@ -9,11 +9,11 @@
 from wigeonfront.node.assigning import MembershipTracker
 from wigeonfront.node.following import ConfigurationFollower
 
-AGREED = Assignment(Holders(("n1", "n2")), revision=1)
+ASSIGNMENT = Assignment(Holders(("n1", "n2")), revision=1)
 
 
 class SeenRows:
-    """A mirror of registrations, as a test says."""
+    """A fake mirror whose registrations and outages a test sets."""
 
     def __init__(self):
         self.ready = True
@@ -53,30 +53,30 @@
     return MembershipTracker(seen, NoTargets(), ConfigurationFollower(clock), clock)
 
 
-def test_a_holder_is_missing_from_when_it_was_first_not_seen(tracker, seen, clock):
-    assert tracker.view(AGREED).absent == {}
+def test_absence_counts_from_when_a_holder_is_first_seen_missing(tracker, seen, clock):
+    assert tracker.view(ASSIGNMENT).absent == {}
     seen.names = ("n2", "n3")
-    assert tracker.view(AGREED).absent == {"n1": 0.0}
+    assert tracker.view(ASSIGNMENT).absent == {"n1": 0.0}
     clock.advance(2.5)
-    assert tracker.view(AGREED).absent == {"n1": 2.5}
+    assert tracker.view(ASSIGNMENT).absent == {"n1": 2.5}
     seen.names = ("n1", "n2", "n3")
-    assert tracker.view(AGREED).absent == {}
+    assert tracker.view(ASSIGNMENT).absent == {}
 
 
 @pytest.mark.parametrize("missed_before", [True, False])
-def test_after_an_outage_holders_get_the_same_time_to_return(
+def test_absence_counts_anew_from_the_end_of_an_outage(
     tracker, seen, clock, missed_before
 ):
-    """Its length does not count, and nothing more is waited for."""
+    """The length of the outage does not count, nor is any time added to the absence."""
     if missed_before:
         seen.names = ("n2", "n3")
-        tracker.view(AGREED)
+        tracker.view(ASSIGNMENT)
     seen.failing = True
     clock.advance(7.0)
-    assert tracker.view(AGREED) is None
+    assert tracker.view(ASSIGNMENT) is None
     seen.failing = False
     seen.names = ("n2", "n3")
     seen.regained_at = clock.monotonic()
-    assert tracker.view(AGREED).absent == {"n1": 0.0}
+    assert tracker.view(ASSIGNMENT).absent == {"n1": 0.0}
     clock.advance(ABSENT_SECONDS)
-    assert tracker.view(AGREED).absent == {"n1": ABSENT_SECONDS}
+    assert tracker.view(ASSIGNMENT).absent == {"n1": ABSENT_SECONDS}
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -1,4 +1,7 @@
-"""Who orders engines, over real sockets: entries, sides, and what follows a loss."""
+"""Tests of orders to engines by entries and sides, over real sockets.
+
+They also cover the loss of an entry that gives orders.
+"""
 
 import itertools
 
@@ -13,14 +16,14 @@
 
 @pytest.fixture
 def deployed():
-    made = Deployment()
-    yield made
-    made.close()
+    started = Deployment()
+    yield started
+    started.close()
 
 
 @pytest.fixture
 def quick_changes(monkeypatch):
-    """Holders of orders count as missing, and changes settle, within a second."""
+    """Let holders count as missing, and changes take effect, within a second."""
     monkeypatch.setattr(assignment, "ABSENT_SECONDS", 0.5)
     monkeypatch.setattr(assignment, "FLIGHT_SECONDS", 0.2)
     monkeypatch.setattr(assignment, "TERM_SECONDS", 0.2)
@@ -32,12 +35,12 @@
 
 @pytest.mark.usefixtures("quick_changes")
 def test_engines_without_a_side_follow_the_named_versions(deployed):
-    """Also once the entry that ordered them is gone, and each from one at a time."""
+    """Also after the loss of the entry that ordered them; one holder at a time."""
     for name in ("n1", "n2", "n3"):
         deployed.add_entry(name)
     for version in (2, 3):
         deployment.name_version(deployed.rows, version)
-        wait_for(lambda least=version - 1: min(versions_of(deployed)) >= least, 8.0)
+        wait_for(lambda lowest=version - 1: min(versions_of(deployed)) >= lowest, 8.0)
     holders = {order.holder for engine in deployed.engines for order in engine.orders}
     for entry in deployed.entries:
         if entry._settings.name in holders:
@@ -50,17 +53,17 @@
 
 
 def check_holders(engine):
-    """A holder's orders follow another's only with a higher token."""
-    given = [(order.holder, order.fence) for order in engine.orders]
-    for earlier, later in itertools.pairwise(given):
+    """Check that each change of holder raises the fencing token; return the holders."""
+    orders = [(order.holder, order.fence) for order in engine.orders]
+    for earlier, later in itertools.pairwise(orders):
         if earlier[0] != later[0]:
             assert earlier[1] < later[1]
-    return {holder for holder, _ in given}
+    return {holder for holder, _ in orders}
 
 
 @pytest.mark.usefixtures("quick_changes")
 def test_a_side_orders_its_own_engine_and_entries_the_others(deployed):
-    with_side, without = deployed.engines
+    with_side, without_side = deployed.engines
     deployed.add_side("side-1", with_side)
     deployed.add_entry("n1")
     version = 1
@@ -76,6 +79,6 @@
     count = len(with_side.orders)
     for _ in range(4):
         ordered_by_side()
-    later = {order.holder for order in with_side.orders[count:]}
-    assert later == {"side-1"}
-    assert check_holders(without) == {"n1"}
+    later_holders = {order.holder for order in with_side.orders[count:]}
+    assert later_holders == {"side-1"}
+    assert check_holders(without_side) == {"n1"}
--- a/tests/test_engine_place.py
+++ b/tests/test_engine_place.py
@@ -1,4 +1,4 @@
-"""How often a side reads where its engine stands."""
+"""Tests of how often a side reads the place of its engine."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class Reads:
-    """Places that are read at given times."""
+    """A fake source of places that counts the reads."""
 
     def __init__(self):
         self.clock = ManualClock(50.0)
@@ -25,7 +25,7 @@
         return self.place
 
     def find_for(self, seconds, step=1.0):
-        """Find the place again and again; return how often it was read."""
+        """Find the place once per step; return how often it was read."""
         before = self.count
         for _ in range(round(seconds / step)):
             self.known.find()
@@ -38,13 +38,13 @@
     return Reads()
 
 
-def test_a_place_that_stays_is_read_ever_more_rarely(reads):
+def test_an_unchanged_place_is_read_less_and_less_often(reads):
     assert reads.known.find() == reads.place
     assert reads.find_for(60.0) <= 5
     assert reads.find_for(600.0) <= 600 / MAX_REFRESH_SECONDS + 1
 
 
-def test_a_place_that_changes_is_known_and_read_often_again(reads):
+def test_a_changed_place_is_found_and_read_often_again(reads):
     reads.find_for(200.0)
     reads.place = Place(2, 5, ("m",))
     reads.find_for(MAX_REFRESH_SECONDS + 1)
@@ -52,14 +52,14 @@
     assert reads.find_for(4 * MIN_REFRESH_SECONDS) >= 2
 
 
-def test_a_start_in_which_engines_come_one_by_one_is_followed(reads):
+def test_engines_that_start_one_by_one_are_each_noticed(reads):
     for count in range(1, 8):
         reads.place = Place(0, count, ("m",))
         reads.find_for(MIN_REFRESH_SECONDS + 1)
         assert reads.known.find() == reads.place
 
 
-def test_what_can_not_be_read_stays_and_is_tried_again_soon(reads):
+def test_a_failed_read_keeps_the_place_and_is_retried_soon(reads):
     known = reads.place
     reads.find_for(200.0)
     reads.place = None
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -1,4 +1,4 @@
-"""An entry in this process, over real sockets, on stand-ins of the platform."""
+"""Tests of entries in this process, over real sockets, with platform stand-ins."""
 
 import base64
 import threading
@@ -21,9 +21,9 @@
 
 @pytest.fixture
 def deployed():
-    made = Deployment()
-    yield made
-    made.close()
+    started = Deployment()
+    yield started
+    started.close()
 
 
 def call(entry, method, path, body=None, **headers):
@@ -72,20 +72,20 @@
 
 
 def read_all(entry, lot_id, total=SAMPLES):
-    """Read on from where the last page ended, as trainers do, until all are there."""
+    """Read page after page, as trainers do, until there are `total` results."""
     results = []
 
-    def whole():
+    def read_page():
         status, page = read(entry, lot_id, len(results))
         if status == 200:
             results.extend(page["results"])
             assert page["next"] == len(results)
         return page | {"results": results} if len(results) == total else None
 
-    return wait_for(whole, 15.0)
+    return wait_for(read_page, 15.0)
 
 
-def check(deployed, page):
+def check_results(deployed, page):
     engine = deployed.engines[0]
     assert len({result["id"] for result in page["results"]}) == page["total"]
     for result in page["results"]:
@@ -94,21 +94,21 @@
         assert result["versions"] == [1]
 
 
-def test_a_lot_is_answered_whole_at_every_entry(deployed):
+def test_every_entry_returns_all_results_of_a_lot(deployed):
     first = deployed.add_entry("n1")
     second = deployed.add_entry("n2")
     assert submit(first, "l1").status == 202
     page = read_all(first, "l1")
-    check(deployed, page)
+    check_results(deployed, page)
     assert read_all(second, "l1") == page
     assert read(second, "l1", 4)[1]["results"] == page["results"][4:]
     assert read(first, "l1", SAMPLES)[1]["next"] == SAMPLES
 
 
-def test_the_same_lot_runs_once(deployed):
+def test_a_lot_submitted_repeatedly_runs_once(deployed):
     first = deployed.add_entry("n1")
     second = deployed.add_entry("n2")
-    assert [submit(one, "l1").status for one in (first, first, second)] == [202] * 3
+    assert [submit(entry, "l1").status for entry in (first, first, second)] == [202] * 3
     read_all(first, "l1")
     ran = deployed.engines[0].ran + deployed.engines[1].ran
     assert set(ran.values()) == {1}
@@ -123,8 +123,8 @@
     }
 
 
-def test_the_lots_of_a_trainer_go_to_one_entry_of_a_failure_domain(deployed):
-    """Wherever they arrive, and whoever is asked has their results at once."""
+def test_lots_of_a_trainer_go_to_one_entry_of_a_failure_domain(deployed):
+    """Lots may arrive at any entry, and any entry returns their results."""
     for engine in deployed.engines:
         engine.faults.hang = True
     entries = [
@@ -141,19 +141,21 @@
         engine.release.set()
         engine.faults.hang = False
     for entry, lot in zip(entries, lots, strict=True):
-        check(deployed, read_all(entry, lot))
+        check_results(deployed, read_all(entry, lot))
     ran = sum((engine.ran for engine in deployed.engines), Counter())
     assert set(ran.values()) == {1}
     assert len(ran) == SAMPLES * len(lots)
 
 
 @pytest.mark.parametrize("state", ["gone", "silent", "leaving"])
-def test_a_lot_is_kept_at_once_though_its_owner_to_be_does_not(deployed, state):
+def test_a_lot_is_accepted_at_once_although_its_preferred_owner_is_not_available(
+    deployed, state
+):
     entries = [deployed.add_entry(name, failure_domain="z1") for name in ("n1", "n2")]
     wait_for(lambda: all(len(entry._view.members()) == 2 for entry in entries))
     assert submit(entries[0], "l0").status == 202
     (name,) = owners_of(deployed, ["l0"])
-    owner, other = sorted(entries, key=lambda one: one._settings.name != name)
+    owner, other = sorted(entries, key=lambda entry: entry._settings.name != name)
     if state == "gone":
         owner._servers["peer"].close(0.0)
     elif state == "leaving":
@@ -165,57 +167,59 @@
     assert submit(other, "l1").status == 202
     assert time.monotonic() - began < 1.0
     assert owners_of(deployed, ["l1"]) == {other._settings.name}
-    check(deployed, read_all(other, "l1"))
+    check_results(deployed, read_all(other, "l1"))
 
 
-def test_results_are_read_at_their_owner_from_the_asked_position(deployed):
-    """Open or ended: what a reader has is not sent again, and no store is asked."""
+def test_results_are_read_at_their_owner_from_the_requested_position(deployed):
+    """Open or ended: earlier results are not sent again, nor is the store read."""
     entries = [
         deployed.add_entry(name, failure_domain="z1") for name in ("n1", "n2", "n3")
     ]
     wait_for(lambda: all(len(entry._view.members()) == 3 for entry in entries))
     assert submit(entries[0], "l1").status == 202
     (name,) = owners_of(deployed, ["l1"])
-    owner, other, third = sorted(entries, key=lambda one: one._settings.name != name)
-    whole = read_all(owner, "l1")
+    owner, other, third = sorted(
+        entries, key=lambda entry: entry._settings.name != name
+    )
+    expected = read_all(owner, "l1")
     wait_for(lambda: other._lots.heads() and third._lots.heads())
     for entry in (other, third):
         entry._lots._repository.results = lambda *_: pytest.fail("the store was read")
-    asked = []
+    reads = []
     answer = owner._lots.read_here
     read = other._lots._owners.read
 
-    def note(address, lot, after, wait):
+    def record_read(address, lot, after, wait):
         found = read(address, lot, after, wait)
-        asked.append((after, len(found.results)))
+        reads.append((after, len(found.results)))
         return found
 
-    other._lots._owners.read = note
+    other._lots._owners.read = record_read
     for after in (4, 0, 2, 6):
-        assert results_after(other, "l1", after) == whole["results"][after:]
-    assert asked == [(4, 2), (0, 6)]
+        assert results_after(other, "l1", after) == expected["results"][after:]
+    assert reads == [(4, 2), (0, 6)]
     assert call(owner, "DELETE", "/lots/l1").status == 200
     wait_for(lambda: answer("l1", 0, 0.0) is not None)
-    assert results_after(third, "l1", 1) == whole["results"][1:]
+    assert results_after(third, "l1", 1) == expected["results"][1:]
 
 
-def test_a_lot_that_was_read_in_parts_at_its_owner_is_whole_once_it_has_ended(
+def test_a_lot_that_was_read_in_parts_at_its_owner_is_complete_after_its_end(
     deployed, monkeypatch
 ):
-    """A part may end within a batch; what follows is then read in the store."""
-    owner, far = (deployed.add_entry(name) for name in ("n1", "n2"))
+    """A part may end within a stored batch; the rest is then read from the store."""
+    owner, reader = (deployed.add_entry(name) for name in ("n1", "n2"))
     for count in range(1, 8):
         lot = f"l{count}"
         assert submit(owner, lot, samples=8).status == 202
-        whole = read_all(owner, lot, 8)["results"]
-        wait_for(lambda lot=lot: lot in far._lots.heads())
-        size = sum(len(one["output"]) for one in whole[:count])
+        expected = read_all(owner, lot, 8)["results"]
+        wait_for(lambda lot=lot: lot in reader._lots.heads())
+        size = sum(len(result["output"]) for result in expected[:count])
         monkeypatch.setattr(owner_calls, "ANSWER_BYTES", size)
-        assert len(results_after(far, lot, 0)) == count
+        assert len(results_after(reader, lot, 0)) == count
         assert call(owner, "DELETE", f"/lots/{lot}").status == 200
-        wait_for(lambda lot=lot: far._lots.heads()[lot].state is LotState.ENDED)
+        wait_for(lambda lot=lot: reader._lots.heads()[lot].state is LotState.ENDED)
         for after in (7, 3, 0):
-            assert results_after(far, lot, after) == whole[after:]
+            assert results_after(reader, lot, after) == expected[after:]
 
 
 def results_after(entry, lot_id, after):
@@ -223,7 +227,7 @@
     return msgspec.json.decode(answer.body)["results"]
 
 
-def test_a_lot_that_is_not_kept_is_refused_and_never_runs(deployed):
+def test_a_lot_that_is_not_stored_is_refused_and_never_runs(deployed):
     entry = deployed.add_entry("n1")
     deployed.rows.faults.down = True
     answer = submit(entry, "l1")
@@ -234,14 +238,14 @@
     assert read(entry, "l1")[0] == 404
 
 
-def test_a_lot_whose_fate_is_unknown_is_not_refused(deployed):
+def test_a_lot_whose_write_is_in_doubt_is_not_refused(deployed):
     entry = deployed.add_entry("n1")
     deployed.rows.faults.lose_writes = 99
     deployed.rows.faults.lost_are_done = False
     assert submit(entry, "l1").status == 504
 
 
-def test_unknown_lots_and_samples_are_404_only_when_that_is_sure(deployed):
+def test_unknown_lots_and_samples_get_404_only_if_the_store_answers(deployed):
     entry = deployed.add_entry("n1")
     submit(entry, "l1")
     assert read(entry, "l2")[0] == 404
@@ -253,22 +257,22 @@
     assert read(entry, "l3")[0] == 503
 
 
-def test_an_entry_learns_from_others_which_engines_are_quick(deployed):
+def test_an_entry_learns_from_others_which_engines_are_fast(deployed):
     first = deployed.add_entry("n1")
     second = deployed.add_entry("n2")
-    quick, slow = deployed.engines
-    quick.events = slow.events = 20
-    quick.faults.event_seconds, slow.faults.event_seconds = 0.01, 0.04
+    fast, slow = deployed.engines
+    fast.events = slow.events = 20
+    fast.faults.event_seconds, slow.faults.event_seconds = 0.01, 0.04
     submit(first, "l1")
     read_all(first, "l1")
     wait_for(lambda: len(second._table.engine_states()) == 2)
-    # As many as the quick engine has places for.
+    # As many samples as the fast engine has slots.
     submit(second, "l2", samples=4)
     read_all(second, "l2", 4)
     assert sum(id.startswith("l2") for id in slow.ran) == 0
 
 
-def test_an_ended_lot_runs_nothing_more(deployed):
+def test_an_ended_lot_starts_no_more_runs(deployed):
     first = deployed.add_entry("n1")
     second = deployed.add_entry("n2")
     for engine in deployed.engines:
@@ -283,20 +287,20 @@
     assert sum(engine.ran.total() for engine in deployed.engines) == before
 
 
-def test_a_broken_run_goes_on_from_its_last_event(deployed):
+def test_a_broken_run_resumes_after_its_last_event(deployed):
     entry = deployed.add_entry("n1")
     for engine in deployed.engines:
         engine.faults.cut_after = 2
         engine.faults.cuts = 3
     submit(entry, "l1")
-    check(deployed, read_all(entry, "l1"))
+    check_results(deployed, read_all(entry, "l1"))
 
 
-def test_a_sample_is_listed_with_its_score_at_every_entry(deployed):
+def test_every_entry_lists_a_sample_with_its_score(deployed):
     first, second = deployed.add_entry("n1"), deployed.add_entry("n2")
     assert submit(first, "l1", scored=True).status == 202
     page = read_all(first, "l1")
-    check(deployed, page)
+    check_results(deployed, page)
     assert read_all(second, "l1") == page
     for result in page["results"]:
         call = f"c-{result['id']}"
@@ -311,13 +315,13 @@
     deployed.plain.statuses["c-l1-2"] = 500
     submit(entry, "l1", scored=True)
     page = read_all(entry, "l1")
-    states = {one["id"]: one["state"] for one in page["results"]}
+    states = {result["id"]: result["state"] for result in page["results"]}
     assert states.pop("l1-2") == "terminated"
     assert set(states.values()) == {"completed"}
     assert len(deployed.plain.arrived["c-l1-2"]) == 3
 
 
-def test_an_owner_lost_between_text_and_score_generates_nothing_again(deployed):
+def test_the_loss_of_an_owner_between_text_and_score_repeats_no_generation(deployed):
     first, second = deployed.add_entry("n1"), deployed.add_entry("n2")
     deployed.plain.refuse = True
     submit(first, "l1", scored=True)
@@ -327,14 +331,14 @@
     first._runner.stop_lot("l1", "killed by the test")
     deployed.plain.refuse = False
     page = read_all(second, "l1")
-    check(deployed, page)
+    check_results(deployed, page)
     ran = deployed.engines[0].ran + deployed.engines[1].ran
     assert set(ran.values()) == {1}
-    marks = {one["score"] for one in page["results"]}
+    marks = {result["score"] for result in page["results"]}
     assert marks == {mark for marks in deployed.plain.marks.values() for mark in marks}
 
 
-def test_an_ended_lot_calls_no_scoring_service_afterwards(deployed):
+def test_an_ended_lot_makes_no_more_reward_calls(deployed):
     first, second = deployed.add_entry("n1"), deployed.add_entry("n2")
     deployed.plain.pause = 0.4
     submit(first, "l1", samples=12, scored=True)
@@ -361,7 +365,7 @@
         {"body": 3},
     ],
 )
-def test_a_bad_reward_call_makes_a_lot_a_clear_mistake(deployed, changes):
+def test_a_lot_with_an_invalid_reward_call_is_refused_with_400(deployed, changes):
     entry = deployed.add_entry("n1")
     good = submission("l1", scored=True)
     items = msgspec.json.decode(good)
@@ -373,10 +377,8 @@
     assert not deployed.engines[0].ran and not deployed.engines[1].ran
 
 
-def test_runs_go_on_elsewhere_as_soon_as_an_engine_has_started_again(
-    deployed, monkeypatch
-):
-    # Silence alone would end the runs too.
+def test_runs_are_moved_as_soon_as_their_engine_has_restarted(deployed, monkeypatch):
+    # Otherwise the silence of the engine alone would end the runs.
     monkeypatch.setattr(runner, "first_event_wait", lambda view, silent_runs: 10.0)
     entry = deployed.add_entry("n1")
     silent, other = deployed.engines
@@ -397,25 +399,25 @@
     assert time.monotonic() - began < 1.5
     for engine in (silent, other):
         engine.release.set()
-    check(deployed, read_all(entry, "l1"))
+    check_results(deployed, read_all(entry, "l1"))
 
 
-def test_an_engine_that_never_begins_is_left_within_a_second(deployed):
+def test_samples_leave_an_engine_that_sends_no_first_event_within_a_second(deployed):
     entry = deployed.add_entry("n1")
     deployed.engines[0].faults.hang = True
     started = time.monotonic()
     submit(entry, "l1", samples=4)
-    check(deployed, read_all(entry, "l1", 4))
-    # It was waited for once, by samples side by side.
+    check_results(deployed, read_all(entry, "l1", 4))
+    # The samples waited for the engine at the same time, not one after another.
     assert time.monotonic() - started < 2.9
     deployed.engines[0].release.set()
 
 
-def test_a_silent_engine_is_left(deployed):
+def test_samples_leave_an_engine_that_falls_silent(deployed):
     entry = deployed.add_entry("n1")
     deployed.engines[0].faults.silent = True
     submit(entry, "l1")
-    check(deployed, read_all(entry, "l1"))
+    check_results(deployed, read_all(entry, "l1"))
 
 
 @pytest.mark.parametrize("status", [422, 500])
@@ -425,33 +427,33 @@
         engine.faults.statuses["l1-2"] = status
     submit(entry, "l1")
     page = read_all(entry, "l1")
-    states = {one["id"]: one["state"] for one in page["results"]}
+    states = {result["id"]: result["state"] for result in page["results"]}
     assert states.pop("l1-2") == "terminated"
     assert set(states.values()) == {"completed"}
     runs = sum(engine.ran["l1-2"] for engine in deployed.engines)
     assert runs == (1 if status == 422 else 3)
 
 
-def test_nothing_comes_from_weights_that_are_too_old(deployed):
+def test_no_sample_is_generated_with_too_old_weights(deployed):
     entry = deployed.add_entry("n1")
     deployed.engines[0].versions[MODEL] = 5
     submit(entry, "l1", minVersion=5)
     page = read_all(entry, "l1")
-    assert all(one["versions"] == [5] for one in page["results"])
+    assert all(result["versions"] == [5] for result in page["results"])
 
 
-def test_an_entry_counts_as_a_member_as_soon_as_it_is_registered(deployed):
-    """Its own Lots wait for it after a restart, not for what its mirror tells."""
+def test_an_entry_is_a_member_as_soon_as_it_is_registered(deployed):
+    """After a restart, its own Lots need not wait until its mirror shows the row."""
     entry = deployed.make_entry("n1")
-    looked = []
-    entry._lots.owners_changed = lambda: looked.append(entry._view.members())
+    seen = []
+    entry._lots.owners_changed = lambda: seen.append(entry._view.members())
     assert entry._view.members() == []
     assert entry._registration._register()
-    assert looked == [[entry._registration.member]]
+    assert seen == [[entry._registration.member]]
 
 
-def test_a_mirror_that_is_older_misses_no_registration(deployed):
-    """After a restart it still tells the last incarnation."""
+def test_a_mirror_older_than_the_registration_does_not_report_it_missing(deployed):
+    """After a restart the mirror may still show the last incarnation."""
     entry = deployed.make_entry("n1")
     registration, mirror = entry._registration, entry._view.live
     assert mirror._list()
@@ -465,7 +467,7 @@
     assert not registration.registered
 
 
-def test_an_owner_that_is_gone_is_replaced(deployed):
+def test_a_lost_owner_is_replaced(deployed):
     first = deployed.add_entry("n1")
     second = deployed.add_entry("n2")
     for engine in deployed.engines:
@@ -476,10 +478,10 @@
     first._runner.stop_lot("l1", "killed by the test")
     for engine in deployed.engines:
         engine.faults.event_seconds = 0.002
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
 
 
-def test_what_a_lost_owner_had_generated_is_not_generated_again(deployed):
+def test_text_generated_by_a_lost_owner_is_not_generated_again(deployed):
     first = deployed.add_entry("n1")
     second = deployed.add_entry("n2")
     for engine in deployed.engines:
@@ -491,16 +493,16 @@
     first._supervisor._tell()
     first._runner.stop_lot("l1", "killed by the test")
     page = read_all(second, "l1", 2)
-    check(deployed, page)
+    check_results(deployed, page)
     began = deployed.engines[0].began_after | deployed.engines[1].began_after
-    # 40 events had been generated; the last second may be lost.
+    # 40 events were generated before the loss; those of the last second may be lost.
     assert all(after >= 8 for after in began.values())
 
 
-def test_a_leaving_entry_keeps_what_is_finished(deployed):
+def test_a_leaving_entry_hands_over_finished_results(deployed):
     first = deployed.add_entry("n1")
     second = deployed.add_entry("n2")
-    # Half of the Lot ends at once, and the rest within the time of the stop.
+    # Half of the Lot finishes at once, and the rest within the time of the stop.
     for engine, seconds in zip(deployed.engines, (0.02, 0.5), strict=True):
         engine.faults.event_seconds = seconds
     stopping = threading.Thread(target=first.stop)
@@ -508,16 +510,16 @@
     wait_for(lambda: first._runner.owned("l1").unkept)
     deployed.rows.faults.down = True
     stopping.start()
-    # The entry has tried to hand over once by now.
+    # By now the entry has tried once to hand over.
     time.sleep(3.4)
     deployed.rows.faults.down = False
     stopping.join(8.0)
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
     ran = deployed.engines[0].ran + deployed.engines[1].ran
     assert set(ran.values()) == {1}
 
 
-def test_a_leaving_entry_hands_over_and_closes_in_time(deployed):
+def test_a_leaving_entry_hands_over_and_closes_within_its_stop_time(deployed):
     first = deployed.add_entry("n1")
     second = deployed.add_entry("n2")
     for engine in deployed.engines:
@@ -532,7 +534,7 @@
     assert time.monotonic() - started < 6.0
     for engine in deployed.engines:
         engine.faults.event_seconds = 0.002
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
 
 
 def test_a_lot_that_a_leaving_entry_accepts_runs_elsewhere(deployed):
@@ -543,29 +545,29 @@
     wait_for(lambda: not first.ready)
     lots = [f"l{number}" for number in range(4)]
     assert [submit(first, lot).status for lot in lots] == [202] * 4
-    # Whichever entry a hash would choose, the leaving one is not among them.
+    # The leaving entry is not a candidate, whichever entry the hash would prefer.
     wait_for(lambda: all(map(second._runner.owned, lots)), 2.0)
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
     stopping.join(8.0)
 
 
-def test_an_entry_that_the_store_turns_away_goes_through_another(deployed):
+def test_an_entry_that_can_not_reach_the_store_uses_another_as_relay(deployed):
     first = deployed.add_entry("n1")
     seeds = (first._settings.peer_address,)
-    away = deployed.add_entry("n2", seeds, store=free_address())
-    assert submit(away, "l1").status == 202
-    check(deployed, read_all(away, "l1"))
+    cut_off = deployed.add_entry("n2", seeds, store=free_address())
+    assert submit(cut_off, "l1").status == 202
+    check_results(deployed, read_all(cut_off, "l1"))
     deployed.rows.put("op/config", deployment.configuration(2, prefix="/moved/"))
     wait_for(
         lambda: (
-            call(away, "POST", "/moved/x", b"in", Wigeonfront_Attempt_Id="a").status
+            call(cut_off, "POST", "/moved/x", b"in", Wigeonfront_Attempt_Id="a").status
             == 200
         ),
         3.0,
     )
 
 
-def test_plain_requests_and_what_is_no_route(deployed):
+def test_plain_requests_unknown_routes_and_too_large_bodies(deployed):
     entry = deployed.add_entry("n1")
     sent = {"Wigeonfront_Attempt_Id": "a1", "Wigeonfront_Deadline_Ms": "1000"}
     answer = call(entry, "POST", "/plain/x%20y?q=1", b"in", **sent)
@@ -575,7 +577,7 @@
     assert call(entry, "POST", "/plain/x", b"x" * 100_001, **sent).status == 413
 
 
-def test_a_change_is_in_force_in_time_and_never_reverts(deployed):
+def test_a_configuration_change_is_in_force_in_time_and_is_never_reverted(deployed):
     entry = deployed.add_entry("n1")
     deployed.rows.put("op/config", deployment.configuration(5, prefix="/new/"))
     wait_for(lambda: entry._configuration.current.version == 5, 2.0)
@@ -621,11 +623,11 @@
         b'{"items":[{"id":"a","path":"/","body":"%"}]}',
     ],
 )
-def test_a_malformed_lot_is_refused_for_good(deployed, body):
+def test_a_malformed_lot_is_refused_with_400(deployed, body):
     entry = deployed.add_entry("n1")
     answer = call(entry, "POST", "/lots-in/x", body, Wigeonfront_Attempt_Id="l1")
     assert answer.status == 400
-    twice = submission("l1").replace(b"l1-1", b"l1-0")
-    answer = call(entry, "POST", "/lots-in/x", twice, Wigeonfront_Attempt_Id="l1")
+    duplicate = submission("l1").replace(b"l1-1", b"l1-0")
+    answer = call(entry, "POST", "/lots-in/x", duplicate, Wigeonfront_Attempt_Id="l1")
     assert answer.status == 400
     assert read(entry, "l1")[0] == 404
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""A process runs until it is told to stop, or until its tasks can't go on."""
+"""Tests that a process runs until it gets a stop signal or has failed."""
 
 import os
 import signal
@@ -24,9 +24,9 @@
 
 
 @pytest.mark.parametrize(("failed", "code"), [(False, 0), (True, 1)])
-def test_a_node_is_started_and_stopped_once(monkeypatch, failed, code):
+def test_a_node_is_started_once_and_stopped_once(monkeypatch, failed, code):
     monkeypatch.setattr(process, "FAILURE_POLL_SECONDS", 0.05)
-    before = [signal.getsignal(one) for one in (signal.SIGTERM, signal.SIGINT)]
+    before = [signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT)]
     node = FakeNode(failed)
     try:
         assert process.run_node(node, "entry", "n1") == code
--- a/tests/test_spool.py
+++ b/tests/test_spool.py
@@ -1,4 +1,4 @@
-"""Disks that hold items for a while: what they take, and what outlives what."""
+"""Tests of the spool: which calls a disk accepts, and which items survive a fault."""
 
 import pytest
 from hypothesis import settings
@@ -36,26 +36,34 @@
 @pytest.mark.parametrize(
     ("calls", "last", "answer", "held"),
     [
-        pytest.param([], append(5, 0, 0, "a"), Done(), (0, "a"), id="first"),
+        pytest.param([], append(5, 0, 0, "a"), Done(), (0, "a"), id="first append"),
         pytest.param(
-            [append(5, 3, 3, "a")], append(5, 3, 4, "b"), Done(), (3, "ab"), id="more"
+            [append(5, 3, 3, "a")],
+            append(5, 3, 4, "b"),
+            Done(),
+            (3, "ab"),
+            id="next append",
         ),
         pytest.param(
-            [append(5, 3, 3, "a")], append(5, 3, 3, "a"), Done(), (3, "a"), id="twice"
+            [append(5, 3, 3, "a")],
+            append(5, 3, 3, "a"),
+            Done(),
+            (3, "a"),
+            id="repeated append",
         ),
         pytest.param(
             [append(5, 0, 0, "a", "b")],
             append(5, 0, 0, "a"),
             Done(),
             (0, "ab"),
-            id="late: nothing is lost",
+            id="late append loses nothing",
         ),
         pytest.param(
             [append(5, 0, 0, "a"), append(5, 4, 4, "e")],
             append(5, 0, 0, "a"),
             Done(),
             (4, "e"),
-            id="late, from before what is kept elsewhere",
+            id="late append of items stored elsewhere since",
         ),
         pytest.param([], append(5, 0, 2, "c"), Gap(), (0, ""), id="gap at the start"),
         pytest.param(
@@ -66,53 +74,53 @@
             append(5, 6, 6, "g"),
             Done(),
             (6, "g"),
-            id="what is kept elsewhere is no gap",
+            id="items stored elsewhere are no gap",
         ),
         pytest.param(
             [append(5, 0, 0, "a"), seal(9)],
             append(5, 0, 1, "b"),
             Fenced(),
             (0, "a"),
-            id="an earlier writer",
+            id="append of an earlier writer",
         ),
         pytest.param(
             [append(5, 0, 0, "a", "b"), seal(9)],
             append(9, 0, 0, "a", "x"),
             Done(),
             (0, "ax"),
-            id="a later writer's items replace those of the earlier one",
+            id="items of a later writer replace those of an earlier one",
         ),
         pytest.param(
             [append(5, 0, 0, "a", "b"), seal(9)],
             append(9, 0, 1, "x"),
             Gap(),
             (0, "ab"),
-            id="a later writer begins with all that is not kept elsewhere",
+            id="a later writer must first append all items not stored elsewhere",
         ),
         pytest.param(
             [append(5, 0, 0, "a", "b", "c")],
             Forget("d", "lot", 5, 2),
             Done(),
             (2, "c"),
-            id="forgotten",
+            id="forget",
         ),
         pytest.param(
             [append(5, 0, 0, "a"), append(5, 4, 4, "e")],
             Forget("d", "lot", 5, 4),
             Done(),
             (4, "e"),
-            id="forgotten late",
+            id="late forget",
         ),
         pytest.param(
             [append(5, 0, 0, "a"), seal(9)],
             Forget("d", "lot", 5, 1),
             Fenced(),
             (0, "a"),
-            id="forgotten by an earlier writer",
+            id="forget of an earlier writer",
         ),
     ],
 )
-def test_what_a_disk_takes(tmp_path, calls, last, answer, held):
+def test_calls_that_a_disk_accepts_and_refuses(tmp_path, calls, last, answer, held):
     contents = SpoolContents()
     for call in calls:
         contents.apply(call, 0.0)
@@ -129,18 +137,18 @@
 def open_file(tmp_path):
     opened = []
 
-    def open_again(folder=tmp_path, clock=None):
-        for one in opened:
-            one.close()
+    def reopen(folder=tmp_path, clock=None):
+        for file in opened:
+            file.close()
         opened.append(SpoolFile(folder, clock or ManualClock(1.0)))
         return opened[-1]
 
-    yield open_again
-    for one in opened:
-        one.close()
+    yield reopen
+    for file in opened:
+        file.close()
 
 
-def test_a_disk_has_what_it_answered_for_after_a_restart(open_file):
+def test_acknowledged_items_survive_a_restart(open_file):
     file = open_file()
     disk = file.disk
     assert file.apply(append(5, 0, 0, "a", "b", disk=disk)) == Done()
@@ -152,9 +160,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 7, 9, 30])
-def test_a_record_that_a_loss_of_power_has_torn_is_as_if_it_never_came(
-    tmp_path, open_file, cut
-):
+def test_a_record_torn_by_a_power_failure_is_ignored(tmp_path, open_file, cut):
     file = open_file()
     disk = file.disk
     file.apply(append(5, 0, 0, "a", disk=disk))
@@ -169,7 +175,7 @@
     assert open_file().apply(seal(5, disk)) == Held(0, items("a", "c"))
 
 
-def test_bytes_that_changed_end_what_is_read(tmp_path, open_file):
+def test_a_corrupt_record_ends_the_replay(tmp_path, open_file):
     file = open_file()
     disk = file.disk
     file.apply(append(5, 0, 0, "a" * 50, disk=disk))
@@ -180,7 +186,7 @@
     assert open_file().apply(seal(5, disk)) == Held(0, ())
 
 
-def test_a_disk_that_was_lost_has_another_id_and_takes_no_call_for_the_old(
+def test_a_replaced_disk_has_a_new_id_and_refuses_calls_for_the_old_id(
     tmp_path, open_file
 ):
     disk = open_file().disk
@@ -190,7 +196,7 @@
     assert file.apply(seal(5, disk)) == Refused("other disk")
 
 
-def test_a_file_that_can_not_be_written_takes_nothing_more(open_file, monkeypatch):
+def test_after_a_failed_write_all_calls_are_refused(open_file, monkeypatch):
     file = open_file()
     monkeypatch.setattr("os.fsync", fail)
     assert file.apply(append(5, 0, 0, "a", disk=file.disk)) == Refused("disk failed")
@@ -202,7 +208,7 @@
     raise OSError("no space")
 
 
-def test_a_long_file_is_written_anew_with_what_it_holds(tmp_path, open_file):
+def test_a_long_file_is_rewritten_with_the_same_contents(tmp_path, open_file):
     clock = ManualClock(1.0)
     file = open_file(clock=clock)
     disk = file.disk
@@ -222,7 +228,7 @@
     assert file.apply(Seal(disk, "other", 4)) == Held(1, items("more"))
 
 
-def test_what_nobody_forgets_is_dropped_after_a_while(open_file):
+def test_unchanged_items_are_dropped_after_the_retention_time(open_file):
     clock = ManualClock(1.0)
     file = open_file(clock=clock)
     file.apply(append(5, 0, 0, "a", disk=file.disk))
@@ -238,13 +244,13 @@
 
 
 WHO = st.sampled_from([-1, -1, -1, -2])
-"""The owner that the head row names, most often, or the one before."""
+"""Index of the acting owner: mostly the one in the head row, or the one before it."""
 
 FATES = st.sampled_from(["done", "done", "done", "lost", "late"])
 
 
 class Owner:
-    """A process that takes itself for the Lot's owner."""
+    """A process that believes that it owns the Lot."""
 
     def __init__(self, revision, kept, found):
         self.revision = revision
@@ -258,10 +264,10 @@
 
 
 class Owners(RuleBasedStateMachine):
-    """Owners of one Lot follow each other; calls come late, disks are lost.
+    """Random sequences of owners of one Lot, with late calls and lost disks.
 
-    The store's part is a list of kept items and the revision of the head row. What any
-    owner has shown must be what later ones show at the same positions, for ever.
+    A list of stored items and the revision of the head row stand for the store. Items
+    that an owner has shown must stay the same at their positions for all later owners.
     """
 
     DISKS = 2
@@ -295,11 +301,11 @@
 
     @rule(count=st.integers(1, 4))
     def keep(self, count):
-        """The store takes batches only from the owner that the head row names."""
+        """Store items; the store accepts them only from the owner in the head row."""
         owner = self.owners[-1]
-        batch = owner.items[owner.kept : owner.kept + count]
-        self.kept.extend(batch)
-        owner.kept += len(batch)
+        stored = owner.items[owner.kept : owner.kept + count]
+        self.kept.extend(stored)
+        owner.kept += len(stored)
         self.show(owner.shown)
 
     @rule(who=WHO, fates=st.tuples(FATES, FATES))
@@ -342,14 +348,14 @@
 
     @rule(index=st.integers(0, DISKS - 1))
     def lose_disk(self, index):
-        """One disk less than there are may be lost."""
+        """Lose a disk, as long as another one is left."""
         if self.lost < self.DISKS - 1:
             self.lost += 1
             self.disks[index] = LostDisk()
 
     @rule(first=st.integers(0, DISKS - 1), lost_answers=st.integers(0, 1))
     def claim(self, first, lost_answers):
-        """The next owner changes the head row, then seals disks until one is heard."""
+        """The next owner changes the head row, then seals disks until one answers."""
         self.revision += 1
         kept = list(self.kept)
         for index in [*range(first, self.DISKS), *range(first)]:
@@ -363,10 +369,10 @@
             found = [name.decode() for name in found]
             self.owners.append(Owner(self.revision, kept, found))
             return
-        raise AssertionError("a disk answers")
+        raise AssertionError("no disk answered the seal")
 
     @invariant()
-    def the_store_has_what_was_shown(self):
+    def stored_items_are_those_that_were_shown(self):
         common = min(len(self.kept), len(self.shown))
         assert self.kept[:common] == self.shown[:common]
 
@@ -384,13 +390,13 @@
         ("ab", 2, "cd", "cd"),
     ],
 )
-def test_items_that_a_later_owner_has_replaced_are_void(kept, position, held, taken):
+def test_items_that_a_later_owner_has_replaced_are_ignored(kept, position, held, taken):
     found = items_to_take(items(*kept), position, items(*held))
     assert tuple(found) == items(*taken)
 
 
 class LostDisk:
-    """Stands for a disk that came back under another id."""
+    """A disk that came back under another id."""
 
     def apply(self, call, now):
         return Refused("other disk")
--- a/tests/test_target_follower.py
+++ b/tests/test_target_follower.py
@@ -1,4 +1,4 @@
-"""Targets that start again under their ids, and rows of other writers."""
+"""Tests of restarted targets, invalid rows and registrations lost in an outage."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class Followed:
-    """A follower of the rows of a store, told of each change by hand."""
+    """A follower with its store, whose mirror lists the rows when a test says so."""
 
     def __init__(self):
         self.rows = make_store()
@@ -44,9 +44,9 @@
     def register(self, id, port=5, **changes):
         address = f"1.2.3.4:{port}"
         deployment.register(self.rows, id, SERVICE, address, **changes)
-        self.look()
+        self.refresh()
 
-    def look(self):
+    def refresh(self):
         assert self.mirror._list()
 
     @property
@@ -59,7 +59,7 @@
     return Followed()
 
 
-def test_nothing_that_is_believed_of_a_target_outlives_its_restart(followed):
+def test_the_state_of_a_target_is_reset_by_its_restart(followed):
     followed.register("i-1", born=1)
     followed.table.started("i-1@1", "m")
     followed.table.refused("i-1@1", "m")
@@ -72,17 +72,17 @@
     assert (view.in_flight, view.latency, view.available) == (0, 0.0, True)
     assert (dict(view.versions), dict(view.refused_until)) == ({}, {})
     assert followed.gone == ["i-1@1"]
-    # Ends of its runs come late, and say nothing of the new incarnation.
+    # The late end of a run of the old incarnation does not affect the new one.
     followed.table.ended("i-1@1", "failure")
     (view,) = followed.table.views(SERVICE)
     assert (view.in_flight, view.available) == (0, True)
 
 
-def test_words_of_an_earlier_start_replace_nothing(followed, caplog):
+def test_a_late_row_of_an_earlier_start_is_ignored(followed, caplog):
     followed.register("i-1", born=2)
     with caplog.at_level("INFO"):
         followed.register("i-1", born=1, state="draining")
-        followed.look()
+        followed.refresh()
     (view,) = followed.table.views(SERVICE)
     assert (view.target.id, view.draining) == ("i-1@2", False)
     assert followed.gone == []
@@ -91,10 +91,10 @@
     assert followed.table.views(SERVICE)[0].draining
 
 
-def test_words_of_an_earlier_start_are_none_of_a_target_that_is_gone(followed):
+def test_a_late_row_of_an_earlier_start_does_not_bring_a_gone_target_back(followed):
     followed.register("i-1", born=2)
     followed.rows.remove("servers/i-1")
-    followed.look()
+    followed.refresh()
     followed.register("i-1", born=1)
     assert followed.ids == set()
     followed.register("i-1", born=2)
@@ -112,7 +112,7 @@
         msgspec.json.encode(deployment.registration(SERVICE, "1.2.3.4:5", state="up")),
     ],
 )
-def test_a_row_of_another_writer_names_no_target_and_the_others_hold(
+def test_an_invalid_row_registers_no_target_and_leaves_the_others(
     followed, value, caplog
 ):
     followed.register("i-1", 5)
@@ -120,21 +120,21 @@
     with caplog.at_level("INFO"):
         followed.rows.put("servers/i-1", value)
         followed.rows.put("servers/i-3/x", value)
-        followed.look()
-        followed.look()
+        followed.refresh()
+        followed.refresh()
         assert followed.ids == {"i-2"}
         assert caplog.text.count("event=bad_row key=servers/i-1 ") == 1
         followed.rows.put("servers/i-1", value)
-        followed.look()
+        followed.refresh()
         assert caplog.text.count("event=bad_row key=servers/i-1 ") == 2
     assert followed.gone == []
     followed.register("i-1", 5)
     assert followed.ids == {"i-1", "i-2"}
 
 
-def test_a_service_that_is_not_configured_gets_nothing(followed):
+def test_a_target_of_an_unknown_service_is_not_used(followed):
     deployment.register(followed.rows, "i-1", "unknown", "1.2.3.4:5")
-    followed.look()
+    followed.refresh()
     assert followed.ids == set()
 
 
@@ -146,17 +146,19 @@
     ("known", "registered", "gone"),
     [
         ([target("a@1", name="a")], [target("a@2", name="a")], ["a@1"]),
-        # It starts again elsewhere.
+        # The target has started again at another address.
         ([target("a@1", "h:1", "a")], [target("a@2", "h:2", "a")], ["a@1"]),
-        # Another one has its address.
+        # Another target has its address.
         ([target("a")], [target("b")], ["a"]),
-        # It is the same, or only its registration is gone.
+        # The target is unchanged, or only its registration is gone.
         ([target("a")], [target("a")], []),
         ([target("a")], [target("b", "h:2")], []),
         ([target("a")], [], []),
     ],
 )
-def test_only_what_is_replaced_for_certain_counts_as_gone(known, registered, gone):
+def test_only_targets_that_were_certainly_replaced_count_as_gone(
+    known, registered, gone
+):
     assert replaced_targets(known, registered) == gone
 
 
@@ -179,20 +181,20 @@
             assert mirror._list()
     assert follower.current.version == 5
     named = follower.versions()
-    assert [(one.model, one.version) for one in named] == [("m", 3)]
+    assert [(version.model, version.version) for version in named] == [("m", 3)]
     assert caplog.text.count("event=bad_row") == 2
 
 
 @pytest.mark.parametrize(
     ("lapsed_after", "held"),
     [
-        # While the store was away, just after it was back, and when all was well.
+        # During the outage, just after it, and long after it.
         (-1.0, True),
         (1.0, True),
         (REREGISTRATION_SECONDS + 0.1, False),
     ],
 )
-def test_a_registration_that_lapses_around_an_outage_is_held_until_it_should_be_back(
+def test_a_registration_that_expires_around_an_outage_stays_valid_for_a_while(
     followed, lapsed_after, held
 ):
     followed.register("i-1")
@@ -204,11 +206,11 @@
     followed.rows.faults.down = False
     if lapsed_after < 0:
         followed.rows.remove("servers/i-1")
-    followed.look()
+    followed.refresh()
     if lapsed_after >= 0:
         followed.clock.advance(lapsed_after)
         followed.rows.remove("servers/i-1")
-        followed.look()
+        followed.refresh()
     assert followed.ids == ({"i-1"} if held else set())
     followed.clock.advance(REREGISTRATION_SECONDS - 0.1)
     followed.follower.expire(followed.mirror)
@@ -218,13 +220,13 @@
     assert followed.ids == set()
 
 
-def test_a_registration_that_comes_back_in_time_was_never_gone(followed):
+def test_a_registration_renewed_in_time_after_an_outage_stays_valid(followed):
     followed.register("i-1")
     followed.rows.faults.down = True
     assert not followed.mirror._list()
     followed.rows.faults.down = False
     followed.rows.remove("servers/i-1")
-    followed.look()
+    followed.refresh()
     followed.clock.advance(REREGISTRATION_SECONDS - 0.1)
     followed.register("i-1")
     followed.clock.advance(1.0)
--- a/tests/test_target_follower_machine.py
+++ b/tests/test_target_follower_machine.py
@@ -1,4 +1,4 @@
-"""Random walks over registrations: restarts, late words, other writers, outages."""
+"""Random sequences of registrations, restarts, late and invalid rows, and expiries."""
 
 import random
 
@@ -21,7 +21,7 @@
 GARBAGE = (b"", b"\xff", b"[]", b'{"service":"s"}', b'{"slotCount":"4"}')
 
 
-class FollowerWalk(RuleBasedStateMachine):
+class FollowerMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
         self.rows = make_store()
@@ -35,7 +35,7 @@
         self.mirror = Mirror(
             DirectRows(self.rows), records.TARGET_PREFIX, self.clock, follower.update
         )
-        # What each target last was, as the test knows it; 0 for none.
+        # Newest start of each target, and the start in its row; 0 for none.
         self.starts = dict.fromkeys(IDS, 0)
         self.written = dict.fromkeys(IDS, 0)
         self.seen = set()
@@ -47,11 +47,11 @@
         self.rows.put(f"servers/{id}", msgspec.json.encode(entry))
         self.written[id] = start
 
-    def _look(self):
+    def _refresh(self):
         if not self.down:
             assert self.mirror._list()
         found = {view.target.id for view in self.table.views(SERVICE)}
-        # What was replaced for certain never comes back.
+        # A target that was certainly replaced never comes back.
         assert not found & set(self.gone)
         self.seen |= found
 
@@ -59,31 +59,31 @@
     def a_target_starts(self, id):
         self.starts[id] += 1
         self._write(id, self.starts[id])
-        self._look()
+        self._refresh()
 
     @rule(id=st.sampled_from(IDS), back=st.integers(1, 3))
-    def an_earlier_start_is_heard_of_late(self, id, back):
+    def a_row_of_an_earlier_start_is_written_late(self, id, back):
         if self.starts[id] > back:
             self._write(id, self.starts[id] - back)
-            self._look()
+            self._refresh()
 
     @rule(id=st.sampled_from(IDS))
-    def it_writes_again(self, id):
+    def a_target_writes_again(self, id):
         if self.starts[id]:
             self._write(id, self.starts[id])
-            self._look()
+            self._refresh()
 
     @rule(id=st.sampled_from(IDS), value=st.sampled_from(GARBAGE))
-    def another_writer_spoils_its_row(self, id, value):
+    def a_row_becomes_invalid(self, id, value):
         self.rows.put(f"servers/{id}", value)
         self.written[id] = 0
-        self._look()
+        self._refresh()
 
     @rule(id=st.sampled_from(IDS))
-    def its_row_goes(self, id):
+    def a_row_is_deleted(self, id):
         self.rows.remove(f"servers/{id}")
         self.written[id] = 0
-        self._look()
+        self._refresh()
 
     @rule(seconds=st.sampled_from([0.4, REREGISTRATION_SECONDS + 0.1]))
     def time_passes(self, seconds):
@@ -96,19 +96,19 @@
         assert len(names) == len(set(names))
 
     @invariant()
-    def the_newest_start_that_was_heard_of_is_the_one_in_use(self):
+    def the_newest_known_start_of_each_target_is_used(self):
         for view in self.table.views(SERVICE):
             assert view.target.started_ms == self.starts[view.target.name]
 
     @invariant()
-    def a_target_whose_row_is_good_is_used(self):
+    def a_target_with_a_valid_row_is_used(self):
         names = {view.target.name for view in self.table.views(SERVICE)}
         for id, start in self.written.items():
             if start and start == self.starts[id]:
                 assert id in names
 
 
-TestFollowerWalk = FollowerWalk.TestCase
-TestFollowerWalk.settings = settings(
+TestFollowerMachine = FollowerMachine.TestCase
+TestFollowerMachine.settings = settings(
     max_examples=80, stateful_step_count=30, deadline=None
 )
