--- a/tests/test_owner_cut_off.py
+++ b/tests/test_owner_cut_off.py
@@ -5,7 +5,7 @@
 from deployed import Deployment
 from platform_standins.relay import Relay
 from rows_fakes import loopback_host, wait_for
-from test_entry_node import check, read, read_all, submit
+from test_entry_node import check_results, read, read_all, submit
 from wigeonfront.http.encoding import parse_address
 
 
@@ -40,7 +40,7 @@
     cut_off(owner, relay)
     assert read(owner, "l1")[0] == 200
     page = read_all(other, "l1")
-    check(deployed, page)
+    check_results(deployed, page)
     assert read(owner, "l1")[0] == 503
     relay = make_relay(deployed, host, port)
     assert read_all(owner, "l1") == page
--- a/tests/test_results_in_doubt.py
+++ b/tests/test_results_in_doubt.py
@@ -6,7 +6,7 @@
 
 from deployed import Deployment
 from rows_fakes import make_lot, wait_for
-from test_entry_node import SAMPLES, call, check, read, read_all, submit
+from test_entry_node import SAMPLES, call, check_results, read, read_all, submit
 from wigeonfront.rollout.lot import SampleResult
 from wigeonfront.rollout.progress import LotProgress
 
@@ -45,7 +45,7 @@
     )
     deployed.rows.faults.lose_writes = 0
     page = read_all(owner, "l1")
-    check(deployed, page)
+    check_results(deployed, page)
     assert page["results"][: len(seen)] == seen
 
 
--- a/tests/test_spooling.py
+++ b/tests/test_spooling.py
@@ -8,7 +8,7 @@
 
 from deployed import BOUNDS, Deployment
 from rows_fakes import wait_for
-from test_entry_node import SAMPLES, call, check, read, read_all, submit
+from test_entry_node import SAMPLES, call, check_results, read, read_all, submit
 from wigeonfront.coordination.membership import DISK_PREFIX, Member
 from wigeonfront.coordination.rows import Absent
 from wigeonfront.platform import records
@@ -76,7 +76,7 @@
 def test_results_are_shown_while_the_store_is_away(deployed):
     entry = add_entry(deployed, "n1")
     page = run_in_an_outage(deployed, entry)
-    check(deployed, page)
+    check_results(deployed, page)
     deployed.rows.faults.down = False
     wait_for(lambda: entry._runner.owned("l1").finished)
     assert read_all(entry, "l1") == page
@@ -95,7 +95,7 @@
     time.sleep(2 * SPOOL_AFTER_SECONDS)
     assert read(entry, "l1")[1]["results"] == []
     deployed.rows.faults.down = False
-    check(deployed, read_all(entry, "l1"))
+    check_results(deployed, read_all(entry, "l1"))
 
 
 def test_a_disk_that_takes_nothing_keeps_results_from_being_shown(deployed):
@@ -107,7 +107,7 @@
     time.sleep(2 * SPOOL_AFTER_SECONDS)
     assert read(entry, "l1")[1]["results"] == []
     deployed.rows.faults.down = False
-    check(deployed, read_all(entry, "l1"))
+    check_results(deployed, read_all(entry, "l1"))
 
 
 @pytest.mark.parametrize("lost", [None, 0, 1])
@@ -249,7 +249,7 @@
     wait_for(lambda: end(first, "l1") == 200, 10.0)
     kill(first)
     page = read_all(second, "l1")
-    check(deployed, page)
+    check_results(deployed, page)
     assert page["results"][: len(results)] == results
 
 
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -8,7 +8,7 @@
 from deployed import Deployment
 from platform_standins.rows import MemoryRows
 from rows_fakes import make_lot, wait_for
-from test_entry_node import SAMPLES, call, check, read, read_all, submit
+from test_entry_node import SAMPLES, call, check_results, read, read_all, submit
 from test_spooling import kill
 from wigeonfront.clock import ManualClock
 from wigeonfront.rollout.acceptance import Deferred, LotAcceptance
@@ -76,7 +76,7 @@
     assert call(second, "GET", "/lots/l1?after=0").status == 503
     deployed.rows.faults.down = False
     page = read_all(first, "l1")
-    check(deployed, page)
+    check_results(deployed, page)
     assert read_all(second, "l1") == page
     assert set(ran(deployed).values()) == {1}
     wait_for(lambda: held(deployed) == 0)
@@ -89,7 +89,7 @@
     assert submit(first, "l1").status == 202
     first.close()
     deployed.rows.faults.down = False
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
     wait_for(lambda: held(deployed) == 0)
 
 
@@ -114,7 +114,7 @@
 
     wait_for(shown, 10.0)
     assert statuses == {200, 503}
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
 
 
 def test_a_lot_that_disks_had_is_not_called_unknown_once_their_leases_lapsed(deployed):
@@ -146,7 +146,7 @@
     stopping.start()
     stopping.join()
     deployed.rows.faults.down = False
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
 
 
 def test_a_lot_that_two_entries_accept_has_one_owner_and_one_order(deployed):
@@ -158,7 +158,7 @@
     deployed.rows.faults.down = False
     pages = [read_all(one, "l1") for one in (first, second)]
     assert pages[0] == pages[1]
-    check(deployed, pages[0])
+    check_results(deployed, pages[0])
     wait_for(lambda: held(deployed) == 0)
 
 
