--- a/src/wigeonfront/node/entry.py
+++ b/src/wigeonfront/node/entry.py
@@ -73,7 +73,7 @@
 PEER_CONNECTIONS = 1_000
 """Maximum of idle connections of other processes that are kept open."""
 
-UPKEEP_SECONDS = 0.5
+UPKEEP_INTERVAL_SECONDS = 0.5
 
 UNREADY_SECONDS = 2.3
 """Time from the stop signal until no more connections arrive: the platform checks the
@@ -161,7 +161,7 @@
             clock,
             self._metrics,
         )
-        self._assigning = EntryAssignment(
+        self._assignment = EntryAssignment(
             settings,
             self._store,
             self._view.live,
@@ -176,7 +176,7 @@
             self._starts,
             lambda: self._registration.member,
             self._view.members,
-            self._assigning.holder,
+            self._assignment.holder,
             clock,
             self._metrics,
         )
@@ -201,7 +201,7 @@
             lambda: self._lots.owners_changed(),
             failure_domain=settings.failure_domain,
             cores=settings.cores,
-            busy=lambda: self._runner.has_open_lots() or self._assigning.holds,
+            busy=lambda: self._runner.has_open_lots() or self._assignment.holds,
         )
 
     def _make_forwarder(self) -> Forwarder:
@@ -331,7 +331,7 @@
             store=self._store,
             view=self._view,
             configuration=self._configuration,
-            assigning=self._assigning,
+            assignment=self._assignment,
             duties=self._duties,
             table=self._table,
             forwarder=self._forwarder,
@@ -388,7 +388,7 @@
         start("own", self._lots.own_loop)
         start("settle", self._lots.settle_loop)
         start("crashes", self._crash_writer.run)
-        self._assigning.start(self._supervisor)
+        self._assignment.start(self._supervisor)
         for duty in self._duties:
             duty.start(self._supervisor)
         start("upkeep", self._upkeep)
@@ -468,13 +468,13 @@
     def _on_live(self, mirror: Mirror) -> None:
         state = mirror.state()
         self._ledger.take(state.rows, state.revision)
-        self._assigning.on_live()
+        self._assignment.on_live()
         self._view.restore_registration()
         self._lots.owners_changed()
 
     def _upkeep(self, stop: threading.Event) -> None:
         """Close idle connections and drop expired registrations."""
-        while not stop.wait(UPKEEP_SECONDS):
+        while not stop.wait(UPKEEP_INTERVAL_SECONDS):
             self._connections.close_idle()
             self._targets.expire(self._view.targets)
 
--- a/src/wigeonfront/node/interface.py
+++ b/src/wigeonfront/node/interface.py
@@ -53,7 +53,7 @@
     store: RowStore
     view: StoreView
     configuration: ConfigurationFollower
-    assigning: EntryAssignment
+    assignment: EntryAssignment
     duties: list[UsageDuty]
     table: TargetTable
     forwarder: Forwarder
@@ -111,8 +111,8 @@
         members=parts.view.members,
         mirror=parts.view.live,
         versions=parts.configuration.versions,
-        order_holders=lambda: parts.assigning.holders,
-        duties=lambda: [_duty_status(duty, parts.assigning) for duty in parts.duties],
+        order_holders=lambda: parts.assignment.holders,
+        duties=lambda: [_duty_status(duty, parts.assignment) for duty in parts.duties],
         services=parts.configuration.services,
         table=parts.table,
         lots=parts.lots,
@@ -120,6 +120,6 @@
     return OperatorCalls(deployment, remembered.find, parts.drain)
 
 
-def _duty_status(duty: UsageDuty, assigning: EntryAssignment) -> DutyStatus:
-    holder = assigning.holder(duty.subject) or ""
-    return DutyStatus(duty.subject, holder, assigning.revision, duty.last)
+def _duty_status(duty: UsageDuty, assignment: EntryAssignment) -> DutyStatus:
+    holder = assignment.holder(duty.subject) or ""
+    return DutyStatus(duty.subject, holder, assignment.revision, duty.last)
--- a/src/wigeonfront/node/storage.py
+++ b/src/wigeonfront/node/storage.py
@@ -41,7 +41,7 @@
 """Time that one watch waits: less than half of the time given to retire a machine."""
 
 SPOOL_THREADS = 32
-UPKEEP_SECONDS = 1.0
+UPKEEP_INTERVAL_SECONDS = 1.0
 
 
 class StorageNode:
@@ -132,7 +132,7 @@
 
     def _upkeep(self, stop: threading.Event) -> None:
         """Maintain the spool file, and answer a retirement once the disk is empty."""
-        while not stop.wait(UPKEEP_SECONDS):
+        while not stop.wait(UPKEEP_INTERVAL_SECONDS):
             if self._spool is not None:
                 self._spool.upkeep()
             if self._retired_at:
--- a/tests/test_spool.py
+++ b/tests/test_spool.py
@@ -243,10 +243,10 @@
 # --- owners, the store and the disks ---------------------------------------------
 
 
-WHO = st.sampled_from([-1, -1, -1, -2])
+OWNER_INDEXES = st.sampled_from([-1, -1, -1, -2])
 """Index of the acting owner: mostly the one in the head row, or the one before it."""
 
-FATES = st.sampled_from(["done", "done", "done", "lost", "late"])
+CALL_OUTCOMES = st.sampled_from(["done", "done", "done", "lost", "late"])
 
 
 class Owner:
@@ -292,7 +292,7 @@
         if len(visible) > len(self.shown):
             self.shown = list(visible)
 
-    @rule(who=WHO, count=st.integers(1, 3))
+    @rule(who=OWNER_INDEXES, count=st.integers(1, 3))
     def finish(self, who, count):
         owner = self.owner(who)
         for _ in range(count):
@@ -308,37 +308,38 @@
         owner.kept += len(stored)
         self.show(owner.shown)
 
-    @rule(who=WHO, fates=st.tuples(FATES, FATES))
-    def spool(self, who, fates):
+    @rule(who=OWNER_INDEXES, outcomes=st.tuples(CALL_OUTCOMES, CALL_OUTCOMES))
+    def spool(self, who, outcomes):
         owner = self.owner(who)
         end = len(owner.items)
         answers = [
-            self.write(owner, index, fate, end) for index, fate in enumerate(fates)
+            self.write(owner, index, outcome, end)
+            for index, outcome in enumerate(outcomes)
         ]
         if answers == [Done()] * self.DISKS:
             owner.spooled = end
             self.show(owner.shown)
 
-    def write(self, owner, index, fate, end):
+    def write(self, owner, index, outcome, end):
         answer = None
         for start in (len(owner.shown), owner.kept):
             names = owner.items[start:end]
             call = append(owner.revision, owner.kept, start, *names)
-            answer = self.send(index, fate, call)
+            answer = self.send(index, outcome, call)
             if not isinstance(answer, Gap):
                 break
         return answer
 
-    def send(self, index, fate, call):
-        if fate == "late":
+    def send(self, index, outcome, call):
+        if outcome == "late":
             self.late.append((index, call))
-        return self.disks[index].apply(call, 0.0) if fate == "done" else None
+        return self.disks[index].apply(call, 0.0) if outcome == "done" else None
 
-    @rule(who=WHO, index=st.integers(0, DISKS - 1), fate=FATES)
-    def forget(self, who, index, fate):
+    @rule(who=OWNER_INDEXES, index=st.integers(0, DISKS - 1), outcome=CALL_OUTCOMES)
+    def forget(self, who, index, outcome):
         owner = self.owner(who)
         if owner.kept >= owner.spooled:
-            self.send(index, fate, Forget("d", "lot", owner.revision, owner.kept))
+            self.send(index, outcome, Forget("d", "lot", owner.revision, owner.kept))
 
     @rule(number=st.integers(0, 20))
     def arrive(self, number):
