--- a/src/wigeonfront/spool/__init__.py
+++ b/src/wigeonfront/spool/__init__.py
@@ -8,8 +8,8 @@
 Each writer has a *fence*, a fencing token: the revision of the row that makes it the
 owner. A writer appends to all members. The next owner seals one of them with its own,
 higher fence and reads the items there. A sealed member refuses earlier owners. The next
-owner therefore finds every item that all members had accepted, and only such items may
-be shown to a reader.
+owner therefore finds every item that all members had accepted. Of the items that are
+not stored elsewhere, only those that all members have accepted are shown to readers.
 """
 
 from wigeonfront.spool.calls import SpoolMember
