--- a/src/wigeonfront/node/engine_place.py
+++ b/src/wigeonfront/node/engine_place.py
@@ -1,25 +1,29 @@
-"""Where a side's engine stands among those of its service."""
+"""The place of a side's engine among the engines of its service."""
 
 from collections.abc import Callable
 
 from wigeonfront.clock import Clock
 from wigeonfront.weights.plan import Place
 
-LEAST_SECONDS = 3.0
-"""How long a place is used that was new when it was read: less than a step."""
+MIN_REFRESH_SECONDS = 3.0
+"""How long a place is cached that has just changed: less than a step."""
 
-MOST_SECONDS = 30.0
-"""The same for one that has long been the same. Each reading of the list of engines
-costs a call of each side; the place of a gone engine only shifts which half loads."""
+MAX_REFRESH_SECONDS = 30.0
+"""How long a place is cached that has not changed for a while. Each refresh costs a
+call of each side. A stale place is harmless: it only shifts which half of the engines
+loads first."""
 
 
 class EnginePlace:
-    """A place that is read again after as long as it has been the same.
+    """A cached place, refreshed after as long as it has been the same.
+
+    The time between two refreshes is bounded by `MIN_REFRESH_SECONDS` and
+    `MAX_REFRESH_SECONDS`.
 
     Parameters
     ----------
     read : callable
-        Returns the place, or ``None`` where it can't be read.
+        Returns the place, or ``None`` if it can't be read.
     clock : Clock
     """
 
@@ -31,15 +35,17 @@
         self._until = self._same_since
 
     def find(self) -> Place:
-        """Return the place, read anew if it is too old."""
+        """Return the place; read it again if the cached one has expired."""
         now = self._clock.monotonic()
         if now >= self._until:
-            self._take(self._read(), now)
+            self._update(self._read(), now)
         return self._place
 
-    def _take(self, place: Place | None, now: float) -> None:
+    def _update(self, place: Place | None, now: float) -> None:
         if place != self._place:
             self._same_since = now
             self._place = place or self._place
-        pause = min(max(now - self._same_since, LEAST_SECONDS), MOST_SECONDS)
+        pause = min(
+            max(now - self._same_since, MIN_REFRESH_SECONDS), MAX_REFRESH_SECONDS
+        )
         self._until = now + pause
--- a/src/wigeonfront/node/interface.py
+++ b/src/wigeonfront/node/interface.py
@@ -1,4 +1,4 @@
-"""Puts the product's own interface together from the parts of an entry."""
+"""Wires the product's own HTTP interface to the parts of an entry."""
 
 import logging
 from collections.abc import Callable
@@ -18,8 +18,8 @@
 from wigeonfront.forwarding.forwarder import Forwarder
 from wigeonfront.forwarding.idempotency import IdempotentRequests
 from wigeonfront.forwarding.streams import StreamForwarder
-from wigeonfront.node.assigning import Assigning
-from wigeonfront.node.duties import UsagePart
+from wigeonfront.node.assigning import EntryAssignment
+from wigeonfront.node.duties import UsageDuty
 from wigeonfront.node.following import ConfigurationFollower
 from wigeonfront.node.store_view import StoreView
 from wigeonfront.observability.explain import RecentEvents
@@ -32,17 +32,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InterfaceParts:
-    """Parts of an entry that its interface calls.
+    """The parts of an entry that its interface uses.
 
     Attributes
     ----------
     name : str
-        Of the machine.
+        Name of the machine.
     me : callable
         Returns this process as a member.
     ready : callable
+        Returns whether callers may be sent here.
     drain : callable
-        Begins a planned stop.
+        Starts a planned stop.
     """
 
     name: str
@@ -52,8 +53,8 @@
     store: RowStore
     view: StoreView
     configuration: ConfigurationFollower
-    assigning: Assigning
-    duties: list[UsagePart]
+    assignment: EntryAssignment
+    duties: list[UsageDuty]
     table: TargetTable
     forwarder: Forwarder
     streams: StreamForwarder
@@ -64,7 +65,7 @@
 
 
 def make_api(parts: InterfaceParts) -> ApiFront:
-    """Return the interface, which remembers the log from now on."""
+    """Return the interface, which keeps the log events from now on for `explain`."""
     samples = PlatformSamples()
     authenticator = CallAuthenticator(parts.gate)
     requests = RequestCalls(
@@ -115,8 +116,8 @@
         members=parts.view.members,
         mirror=parts.view.live,
         named_versions=parts.configuration.versions,
-        order_holders=lambda: parts.assigning.holders,
-        duties=lambda: [_duty(one, parts.assigning) for one in parts.duties],
+        order_holders=lambda: parts.assignment.holders,
+        duties=lambda: [_duty_status(duty, parts.assignment) for duty in parts.duties],
         services=parts.configuration.services,
         table=parts.table,
         lots=parts.lots,
@@ -124,6 +125,6 @@
     return OperatorCalls(deployment, remembered.find, parts.drain)
 
 
-def _duty(part: UsagePart, assigning: Assigning) -> DutyStatus:
-    holder = assigning.holder(part.subject) or ""
-    return DutyStatus(part.subject, holder, assigning.revision, part.last)
+def _duty_status(duty: UsageDuty, assignment: EntryAssignment) -> DutyStatus:
+    holder = assignment.holder(duty.subject) or ""
+    return DutyStatus(duty.subject, holder, assignment.revision, duty.last)
--- a/src/wigeonfront/rollout/submissions.py
+++ b/src/wigeonfront/rollout/submissions.py
@@ -129,7 +129,7 @@
 
     def check(self) -> None:
         """Check each submission once, and delete those that the store has."""
-        held = self._file.held(KEY_PREFIX)
+        held = self._file.items_by_key(KEY_PREFIX)
         self._absent_since = {
             key: at for key, at in self._absent_since.items() if key in held
         }
--- a/tests/test_platform_machines.py
+++ b/tests/test_platform_machines.py
@@ -220,11 +220,11 @@
     @rule(value=st.sampled_from((b"", b"{", b"[]", b'{"version":"x"}')))
     def read_malformed_row(self, value):
         row = Row(records.CONFIGURATION_KEY, value, self.revision)
-        self.follower.take(StaleMirror({records.CONFIGURATION_KEY: row}))
+        self.follower.update(StaleMirror({records.CONFIGURATION_KEY: row}))
 
     @rule(data=st.data())
     def read_rows(self, data):
-        self.follower.take(StaleMirror(data.draw(st.sampled_from(self.states))))
+        self.follower.update(StaleMirror(data.draw(st.sampled_from(self.states))))
 
     @invariant()
     def versions_never_decrease(self):
@@ -238,7 +238,7 @@
 
     def teardown(self):
         """Check that the newest configuration is in force once it is read."""
-        self.follower.take(StaleMirror(self.states[-1]))
+        self.follower.update(StaleMirror(self.states[-1]))
         row = self.states[-1].get(records.CONFIGURATION_KEY)
         if row is not None:
             assert self.follower.current.version == self.version
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -56,9 +56,9 @@
 
 
 def test_a_platform_file_ranks_between_environment_and_default():
-    laid_down = NodeSettings("n", "10.0.0.1", "z1", "10.0.0.9:1", cores=0.4)
+    from_platform = NodeSettings("n", "10.0.0.1", "z1", "10.0.0.9:1", cores=0.4)
     given = load(EntrySettings, {"name": "m"}, {"WIGEONFRONT_LEASE_SECONDS": "7"})
-    found = node_settings(given, laid_down)
+    found = node_settings(given, from_platform)
     assert (found.name, found.host, found.cores) == ("m", "10.0.0.1", 0.4)
     assert found.bounds.lease_seconds == 7.0
     assert found.store_address == "10.0.0.9:1"
--- a/tests/test_spool.py
+++ b/tests/test_spool.py
@@ -1,4 +1,4 @@
-"""Disks that hold items for a while: what they take, and what outlives what."""
+"""Tests of the spool: which calls a disk accepts, and which items survive a fault."""
 
 import pytest
 from hypothesis import settings
@@ -18,7 +18,7 @@
     Seal,
 )
 from wigeonfront.spool.contents import SpoolContents
-from wigeonfront.spool.file import KEEP_SECONDS, SpoolFile
+from wigeonfront.spool.file import RETENTION_SECONDS, SpoolFile
 
 
 def items(*names):
@@ -36,26 +36,34 @@
 @pytest.mark.parametrize(
     ("calls", "last", "answer", "held"),
     [
-        pytest.param([], append(5, 0, 0, "a"), Done(), (0, "a"), id="first"),
+        pytest.param([], append(5, 0, 0, "a"), Done(), (0, "a"), id="first append"),
         pytest.param(
-            [append(5, 3, 3, "a")], append(5, 3, 4, "b"), Done(), (3, "ab"), id="more"
+            [append(5, 3, 3, "a")],
+            append(5, 3, 4, "b"),
+            Done(),
+            (3, "ab"),
+            id="next append",
         ),
         pytest.param(
-            [append(5, 3, 3, "a")], append(5, 3, 3, "a"), Done(), (3, "a"), id="twice"
+            [append(5, 3, 3, "a")],
+            append(5, 3, 3, "a"),
+            Done(),
+            (3, "a"),
+            id="repeated append",
         ),
         pytest.param(
             [append(5, 0, 0, "a", "b")],
             append(5, 0, 0, "a"),
             Done(),
             (0, "ab"),
-            id="late: nothing is lost",
+            id="late append loses nothing",
         ),
         pytest.param(
             [append(5, 0, 0, "a"), append(5, 4, 4, "e")],
             append(5, 0, 0, "a"),
             Done(),
             (4, "e"),
-            id="late, from before what is kept elsewhere",
+            id="late append of items stored elsewhere since",
         ),
         pytest.param([], append(5, 0, 2, "c"), Gap(), (0, ""), id="gap at the start"),
         pytest.param(
@@ -66,59 +74,59 @@
             append(5, 6, 6, "g"),
             Done(),
             (6, "g"),
-            id="what is kept elsewhere is no gap",
+            id="items stored elsewhere are no gap",
         ),
         pytest.param(
             [append(5, 0, 0, "a"), seal(9)],
             append(5, 0, 1, "b"),
             Fenced(),
             (0, "a"),
-            id="an earlier writer",
+            id="append of an earlier writer",
         ),
         pytest.param(
             [append(5, 0, 0, "a", "b"), seal(9)],
             append(9, 0, 0, "a", "x"),
             Done(),
             (0, "ax"),
-            id="a later writer's items replace those of the earlier one",
+            id="items of a later writer replace those of an earlier one",
         ),
         pytest.param(
             [append(5, 0, 0, "a", "b"), seal(9)],
             append(9, 0, 1, "x"),
             Gap(),
             (0, "ab"),
-            id="a later writer begins with all that is not kept elsewhere",
+            id="a later writer must first append all items not stored elsewhere",
         ),
         pytest.param(
             [append(5, 0, 0, "a", "b", "c")],
             Forget("d", "lot", 5, 2),
             Done(),
             (2, "c"),
-            id="forgotten",
+            id="forget",
         ),
         pytest.param(
             [append(5, 0, 0, "a"), append(5, 4, 4, "e")],
             Forget("d", "lot", 5, 4),
             Done(),
             (4, "e"),
-            id="forgotten late",
+            id="late forget",
         ),
         pytest.param(
             [append(5, 0, 0, "a"), seal(9)],
             Forget("d", "lot", 5, 1),
             Fenced(),
             (0, "a"),
-            id="forgotten by an earlier writer",
+            id="forget of an earlier writer",
         ),
     ],
 )
-def test_what_a_disk_takes(tmp_path, calls, last, answer, held):
+def test_calls_that_a_disk_accepts_and_refuses(tmp_path, calls, last, answer, held):
     contents = SpoolContents()
     for call in calls:
-        contents.take(call, 0.0)
-    assert contents.take(last, 0.0) == answer
+        contents.apply(call, 0.0)
+    assert contents.apply(last, 0.0) == answer
     position, names = held
-    found = contents.take(seal(99), 0.0)
+    found = contents.apply(seal(99), 0.0)
     assert (found.items, found.position if names else 0) == (items(*names), position)
 
 
@@ -129,104 +137,102 @@
 def open_file(tmp_path):
     opened = []
 
-    def open_again(folder=tmp_path, clock=None):
-        for one in opened:
-            one.close()
+    def reopen(folder=tmp_path, clock=None):
+        for file in opened:
+            file.close()
         opened.append(SpoolFile(folder, clock or ManualClock(1.0)))
         return opened[-1]
 
-    yield open_again
-    for one in opened:
-        one.close()
+    yield reopen
+    for file in opened:
+        file.close()
 
 
-def test_a_disk_has_what_it_answered_for_after_a_restart(open_file):
+def test_acknowledged_items_survive_a_restart(open_file):
     file = open_file()
     disk = file.disk
-    assert file.take(append(5, 0, 0, "a", "b", disk=disk)) == Done()
-    assert file.take(seal(7, disk)) == Held(0, items("a", "b"))
+    assert file.apply(append(5, 0, 0, "a", "b", disk=disk)) == Done()
+    assert file.apply(seal(7, disk)) == Held(0, items("a", "b"))
     file = open_file()
     assert file.disk == disk
-    assert file.take(append(5, 0, 2, "c", disk=disk)) == Fenced()
-    assert file.take(seal(7, disk)) == Held(0, items("a", "b"))
+    assert file.apply(append(5, 0, 2, "c", disk=disk)) == Fenced()
+    assert file.apply(seal(7, disk)) == Held(0, items("a", "b"))
 
 
 @pytest.mark.parametrize("cut", [1, 7, 9, 30])
-def test_a_record_that_a_loss_of_power_has_torn_is_as_if_it_never_came(
-    tmp_path, open_file, cut
-):
+def test_a_record_torn_by_a_power_failure_is_ignored(tmp_path, open_file, cut):
     file = open_file()
     disk = file.disk
-    file.take(append(5, 0, 0, "a", disk=disk))
+    file.apply(append(5, 0, 0, "a", disk=disk))
     whole = (tmp_path / "spool").stat().st_size
-    file.take(append(5, 0, 1, "b" * 40, disk=disk))
+    file.apply(append(5, 0, 1, "b" * 40, disk=disk))
     file.close()
     with (tmp_path / "spool").open("r+b") as torn:
         torn.truncate(whole + cut)
     file = open_file()
-    assert file.take(seal(5, disk)) == Held(0, items("a"))
-    file.take(append(5, 0, 1, "c", disk=disk))
-    assert open_file().take(seal(5, disk)) == Held(0, items("a", "c"))
+    assert file.apply(seal(5, disk)) == Held(0, items("a"))
+    file.apply(append(5, 0, 1, "c", disk=disk))
+    assert open_file().apply(seal(5, disk)) == Held(0, items("a", "c"))
 
 
-def test_bytes_that_changed_end_what_is_read(tmp_path, open_file):
+def test_a_corrupt_record_ends_the_replay(tmp_path, open_file):
     file = open_file()
     disk = file.disk
-    file.take(append(5, 0, 0, "a" * 50, disk=disk))
+    file.apply(append(5, 0, 0, "a" * 50, disk=disk))
     file.close()
     data = bytearray((tmp_path / "spool").read_bytes())
     data[-10] ^= 1
     (tmp_path / "spool").write_bytes(data)
-    assert open_file().take(seal(5, disk)) == Held(0, ())
+    assert open_file().apply(seal(5, disk)) == Held(0, ())
 
 
-def test_a_disk_that_was_lost_has_another_id_and_takes_no_call_for_the_old(
+def test_a_replaced_disk_has_a_new_id_and_refuses_calls_for_the_old_id(
     tmp_path, open_file
 ):
     disk = open_file().disk
     (tmp_path / "spool").unlink()
     file = open_file()
     assert file.disk != disk
-    assert file.take(seal(5, disk)) == Refused("other disk")
+    assert file.apply(seal(5, disk)) == Refused("other disk")
 
 
-def test_a_file_that_can_not_be_written_takes_nothing_more(open_file, monkeypatch):
+def test_after_a_failed_write_all_calls_are_refused(open_file, monkeypatch):
     file = open_file()
     monkeypatch.setattr("os.fsync", fail)
-    assert file.take(append(5, 0, 0, "a", disk=file.disk)) == Refused("disk failed")
+    assert file.apply(append(5, 0, 0, "a", disk=file.disk)) == Refused("disk failed")
     monkeypatch.undo()
-    assert file.take(seal(5, file.disk)) == Refused("disk failed")
+    assert file.apply(seal(5, file.disk)) == Refused("disk failed")
 
 
 def fail(descriptor):
     raise OSError("no space")
 
 
-def test_a_long_file_is_written_anew_with_what_it_holds(tmp_path, open_file):
+def test_a_long_file_is_rewritten_with_the_same_contents(tmp_path, open_file):
     clock = ManualClock(1.0)
     file = open_file(clock=clock)
     disk = file.disk
     big = "x" * 1_000_000
     for number in range(9):
-        file.take(append(5, number, number, big, disk=disk))
-    file.take(Forget(disk, "lot", 5, 9))
-    file.take(Append(disk, "other", 3, 0, 0, items("kept")))
-    file.take(Seal(disk, "other", 4))
+        file.apply(append(5, number, number, big, disk=disk))
+    file.apply(Forget(disk, "lot", 5, 9))
+    file.apply(Append(disk, "other", 3, 0, 0, items("kept")))
+    file.apply(Seal(disk, "other", 4))
     assert (tmp_path / "spool").stat().st_size > 8_000_000
-    file.take(Forget(disk, "other", 4, 1))
+    file.apply(Forget(disk, "other", 4, 1))
     file.upkeep()
     assert (tmp_path / "spool").stat().st_size < 1_000
-    file.take(Append(disk, "other", 4, 1, 1, items("more")))
+    file.apply(Append(disk, "other", 4, 1, 1, items("more")))
     file = open_file(clock=clock)
-    assert file.take(Append(disk, "other", 3, 1, 2, items("old"))) == Fenced()
-    assert file.take(Seal(disk, "other", 4)) == Held(1, items("more"))
+    assert file.apply(Append(disk, "other", 3, 1, 2, items("old"))) == Fenced()
+    assert file.apply(Seal(disk, "other", 4)) == Held(1, items("more"))
 
 
-def test_what_nobody_forgets_is_dropped_after_a_while(open_file):
+def test_unchanged_items_are_dropped_after_the_retention_time(open_file):
     clock = ManualClock(1.0)
     file = open_file(clock=clock)
-    file.take(append(5, 0, 0, "a", disk=file.disk))
-    clock.advance(KEEP_SECONDS - 1)
+    file.apply(append(5, 0, 0, "a", disk=file.disk))
+    clock.advance(RETENTION_SECONDS - 1)
     file.upkeep()
     assert file.item_count == 1
     clock.advance(2)
@@ -237,14 +243,14 @@
 # --- owners, the store and the disks ---------------------------------------------
 
 
-WHO = st.sampled_from([-1, -1, -1, -2])
-"""The owner that the head row names, most often, or the one before."""
+OWNER_INDEXES = st.sampled_from([-1, -1, -1, -2])
+"""Index of the acting owner: mostly the one in the head row, or the one before it."""
 
-FATES = st.sampled_from(["done", "done", "done", "lost", "late"])
+CALL_OUTCOMES = st.sampled_from(["done", "done", "done", "lost", "late"])
 
 
 class Owner:
-    """A process that takes itself for the Lot's owner."""
+    """A process that believes that it owns the Lot."""
 
     def __init__(self, revision, kept, found):
         self.revision = revision
@@ -258,10 +264,10 @@
 
 
 class Owners(RuleBasedStateMachine):
-    """Owners of one Lot follow each other; calls come late, disks are lost.
+    """Random sequences of owners of one Lot, with late calls and lost disks.
 
-    The store's part is a list of kept items and the revision of the head row. What any
-    owner has shown must be what later ones show at the same positions, for ever.
+    A list of stored items and the revision of the head row stand for the store. Items
+    that an owner has shown must stay the same at their positions for all later owners.
     """
 
     DISKS = 2
@@ -286,7 +292,7 @@
         if len(visible) > len(self.shown):
             self.shown = list(visible)
 
-    @rule(who=WHO, count=st.integers(1, 3))
+    @rule(who=OWNER_INDEXES, count=st.integers(1, 3))
     def finish(self, who, count):
         owner = self.owner(who)
         for _ in range(count):
@@ -295,65 +301,66 @@
 
     @rule(count=st.integers(1, 4))
     def keep(self, count):
-        """The store takes batches only from the owner that the head row names."""
+        """Store items; the store accepts them only from the owner in the head row."""
         owner = self.owners[-1]
-        batch = owner.items[owner.kept : owner.kept + count]
-        self.kept.extend(batch)
-        owner.kept += len(batch)
+        stored = owner.items[owner.kept : owner.kept + count]
+        self.kept.extend(stored)
+        owner.kept += len(stored)
         self.show(owner.shown)
 
-    @rule(who=WHO, fates=st.tuples(FATES, FATES))
-    def spool(self, who, fates):
+    @rule(who=OWNER_INDEXES, outcomes=st.tuples(CALL_OUTCOMES, CALL_OUTCOMES))
+    def spool(self, who, outcomes):
         owner = self.owner(who)
         end = len(owner.items)
         answers = [
-            self.write(owner, index, fate, end) for index, fate in enumerate(fates)
+            self.write(owner, index, outcome, end)
+            for index, outcome in enumerate(outcomes)
         ]
         if answers == [Done()] * self.DISKS:
             owner.spooled = end
             self.show(owner.shown)
 
-    def write(self, owner, index, fate, end):
+    def write(self, owner, index, outcome, end):
         answer = None
         for start in (len(owner.shown), owner.kept):
             names = owner.items[start:end]
             call = append(owner.revision, owner.kept, start, *names)
-            answer = self.send(index, fate, call)
+            answer = self.send(index, outcome, call)
             if not isinstance(answer, Gap):
                 break
         return answer
 
-    def send(self, index, fate, call):
-        if fate == "late":
+    def send(self, index, outcome, call):
+        if outcome == "late":
             self.late.append((index, call))
-        return self.disks[index].take(call, 0.0) if fate == "done" else None
+        return self.disks[index].apply(call, 0.0) if outcome == "done" else None
 
-    @rule(who=WHO, index=st.integers(0, DISKS - 1), fate=FATES)
-    def forget(self, who, index, fate):
+    @rule(who=OWNER_INDEXES, index=st.integers(0, DISKS - 1), outcome=CALL_OUTCOMES)
+    def forget(self, who, index, outcome):
         owner = self.owner(who)
         if owner.kept >= owner.spooled:
-            self.send(index, fate, Forget("d", "lot", owner.revision, owner.kept))
+            self.send(index, outcome, Forget("d", "lot", owner.revision, owner.kept))
 
     @rule(number=st.integers(0, 20))
     def arrive(self, number):
         if self.late:
             index, call = self.late.pop(number % len(self.late))
-            self.disks[index].take(call, 0.0)
+            self.disks[index].apply(call, 0.0)
 
     @rule(index=st.integers(0, DISKS - 1))
     def lose_disk(self, index):
-        """One disk less than there are may be lost."""
+        """Lose a disk, as long as another one is left."""
         if self.lost < self.DISKS - 1:
             self.lost += 1
             self.disks[index] = LostDisk()
 
     @rule(first=st.integers(0, DISKS - 1), lost_answers=st.integers(0, 1))
     def claim(self, first, lost_answers):
-        """The next owner changes the head row, then seals disks until one is heard."""
+        """The next owner changes the head row, then seals disks until one answers."""
         self.revision += 1
         kept = list(self.kept)
         for index in [*range(first, self.DISKS), *range(first)]:
-            answer = self.disks[index].take(seal(self.revision), 0.0)
+            answer = self.disks[index].apply(seal(self.revision), 0.0)
             if not isinstance(answer, Held):
                 continue
             if lost_answers and self.lost == 0:
@@ -363,10 +370,10 @@
             found = [name.decode() for name in found]
             self.owners.append(Owner(self.revision, kept, found))
             return
-        raise AssertionError("a disk answers")
+        raise AssertionError("no disk answered the seal")
 
     @invariant()
-    def the_store_has_what_was_shown(self):
+    def stored_items_are_those_that_were_shown(self):
         common = min(len(self.kept), len(self.shown))
         assert self.kept[:common] == self.shown[:common]
 
@@ -384,15 +391,15 @@
         ("ab", 2, "cd", "cd"),
     ],
 )
-def test_items_that_a_later_owner_has_replaced_are_void(kept, position, held, taken):
+def test_items_that_a_later_owner_has_replaced_are_ignored(kept, position, held, taken):
     found = unstored_items(items(*kept), position, items(*held))
     assert tuple(found) == items(*taken)
 
 
 class LostDisk:
-    """Stands for a disk that came back under another id."""
+    """A disk that came back under another id."""
 
-    def take(self, call, now):
+    def apply(self, call, now):
         return Refused("other disk")
 
 
--- a/tests/test_spooling.py
+++ b/tests/test_spooling.py
@@ -8,7 +8,7 @@
 
 from deployed import BOUNDS, Deployment
 from rows_fakes import wait_for
-from test_entry_node import SAMPLES, call, check, read, read_all, submit
+from test_entry_node import SAMPLES, call, check_results, read, read_all, submit
 from wigeonfront.coordination.membership import DISK_PREFIX, Member
 from wigeonfront.coordination.rows import Absent
 from wigeonfront.platform import records
@@ -76,7 +76,7 @@
 def test_results_are_shown_while_the_store_is_unavailable(deployed):
     entry = add_entry(deployed, "n1")
     page = run_in_an_outage(deployed, entry)
-    check(deployed, page)
+    check_results(deployed, page)
     deployed.rows.faults.down = False
     wait_for(lambda: entry._runner.owned("l1").finished)
     assert read_all(entry, "l1") == page
@@ -95,7 +95,7 @@
     time.sleep(2 * SPOOL_AFTER_SECONDS)
     assert read(entry, "l1")[1]["results"] == []
     deployed.rows.faults.down = False
-    check(deployed, read_all(entry, "l1"))
+    check_results(deployed, read_all(entry, "l1"))
 
 
 def test_results_that_one_disk_lacks_are_not_shown(deployed):
@@ -107,7 +107,7 @@
     time.sleep(2 * SPOOL_AFTER_SECONDS)
     assert read(entry, "l1")[1]["results"] == []
     deployed.rows.faults.down = False
-    check(deployed, read_all(entry, "l1"))
+    check_results(deployed, read_all(entry, "l1"))
 
 
 @pytest.mark.parametrize("lost", [None, 0, 1])
@@ -153,7 +153,7 @@
     append = second._repository.append
     second._repository.append = lambda *arguments: NotKept("refused by the test")
     for disk in deployed.disks:
-        disk._spool.take = lambda call, take=disk._spool.take: (
+        disk._spool.apply = lambda call, take=disk._spool.apply: (
             Refused("full") if isinstance(call, Append) else take(call)
         )
     deployed.rows.faults.down = False
@@ -253,7 +253,7 @@
     wait_for(lambda: end(first, "l1") == 200, 10.0)
     kill(first)
     page = read_all(second, "l1")
-    check(deployed, page)
+    check_results(deployed, page)
     assert page["results"][: len(results)] == results
 
 
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -8,7 +8,7 @@
 from deployed import Deployment
 from platform_standins.rows import MemoryRows
 from rows_fakes import make_lot, wait_for
-from test_entry_node import SAMPLES, call, check, read, read_all, submit
+from test_entry_node import SAMPLES, call, check_results, read, read_all, submit
 from test_spooling import kill
 from wigeonfront.clock import ManualClock
 from wigeonfront.rollout.acceptance import Deferred, LotAcceptance
@@ -59,7 +59,7 @@
 
 
 def held(deployed):
-    return sum(len(disk._spool.held(KEY_PREFIX)) for disk in deployed.disks)
+    return sum(len(disk._spool.items_by_key(KEY_PREFIX)) for disk in deployed.disks)
 
 
 def test_a_lot_runs_during_an_outage_and_its_results_are_shown_after_it(deployed):
@@ -76,7 +76,7 @@
     assert call(second, "GET", "/lots/l1?after=0").status == 503
     deployed.rows.faults.down = False
     page = read_all(first, "l1")
-    check(deployed, page)
+    check_results(deployed, page)
     assert read_all(second, "l1") == page
     assert set(ran(deployed).values()) == {1}
     wait_for(lambda: held(deployed) == 0)
@@ -89,7 +89,7 @@
     assert submit(first, "l1").status == 202
     first.close()
     deployed.rows.faults.down = False
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
     wait_for(lambda: held(deployed) == 0)
 
 
@@ -114,7 +114,7 @@
 
     wait_for(shown, 10.0)
     assert statuses == {200, 503}
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
 
 
 def test_a_lot_on_disks_is_not_called_unknown_after_their_leases_lapsed(deployed):
@@ -146,7 +146,7 @@
     stopping.start()
     stopping.join()
     deployed.rows.faults.down = False
-    check(deployed, read_all(second, "l1"))
+    check_results(deployed, read_all(second, "l1"))
 
 
 def test_a_lot_that_two_entries_accept_has_one_owner_and_one_order(deployed):
@@ -158,7 +158,7 @@
     deployed.rows.faults.down = False
     pages = [read_all(entry, "l1") for entry in (first, second)]
     assert pages[0] == pages[1]
-    check(deployed, pages[0])
+    check_results(deployed, pages[0])
     wait_for(lambda: held(deployed) == 0)
 
 
@@ -290,7 +290,7 @@
 
     def append(self, members, key, fence, kept, position, items):
         call = Append(self.file.disk, key, fence, kept, position, tuple(items))
-        self.file.take(call)
+        self.file.apply(call)
         return True
 
 
@@ -308,13 +308,13 @@
     clock.advance(ENTRY_GRACE_SECONDS - 0.1)
     recovery.check()
     assert not isinstance(repository.head(LOT.id), Head)
-    assert disk.held(KEY_PREFIX)
+    assert disk.items_by_key(KEY_PREFIX)
     clock.advance(0.1)
     recovery.check()
     head = repository.head(LOT.id)
     assert (head.owner, head.state, head.spools) == (NO_OWNER, LotState.OPEN, SPOOLS)
     assert repository.load(LOT.id, head.parts) == LOT
-    assert not disk.held(KEY_PREFIX)
+    assert not disk.items_by_key(KEY_PREFIX)
     assert disk.item_count == 0
 
 
@@ -323,7 +323,7 @@
     SubmissionStore(DirectSpool(disk)).put(LOT, SPOOLS)
     repository.accept(LOT, ME, SPOOLS)
     SubmissionRecovery(disk, repository, ManualClock()).check()
-    assert not disk.held(KEY_PREFIX)
+    assert not disk.items_by_key(KEY_PREFIX)
     assert repository.head(LOT.id).owner == ME
 
 
@@ -332,4 +332,4 @@
     store = SubmissionStore(DirectSpool(disk))
     assert store.put(replace(LOT, samples=(sample,)), SPOOLS) is Stored.NONE
     assert store.put(LOT, ()) is Stored.NONE
-    assert not disk.held(KEY_PREFIX)
+    assert not disk.items_by_key(KEY_PREFIX)
