--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks, run by hand and never in CI."""
+"""Benchmarks, which are run by hand and never in CI."""
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak: ``python -m benchmarks.soak --seeds 1-50``."""
+"""Runs the soak for a range of seeds: ``python -m benchmarks.soak --seeds 1-50``."""
 
 import argparse
 import sys
@@ -12,16 +12,17 @@
 from wigeonfront.http.client import Answer, Pool
 
 SETTLE_SECONDS = 25.0
-"""Time after the last fault in which every accepted Lot must be whole."""
+"""Time after the last fault within which every accepted Lot must be complete."""
 
 READY_SECONDS = 15.0
+"""Time within which all entries must answer, and a first Lot be accepted."""
 
 OPTIONS = Options()
 
 
 @dataclass(frozen=True)
-class Played:
-    """What one seed gave."""
+class SeedResult:
+    """What the run of one seed yielded."""
 
     seed: int
     lots: int
@@ -32,14 +33,16 @@
     folder: str
 
 
-def play(seed: int, seconds: float, options: Options = OPTIONS) -> Played:
-    """Play one seed for `seconds` of faults."""
+def run_seed(seed: int, seconds: float, options: Options = OPTIONS) -> SeedResult:
+    """Run the soak with one seed, injecting faults for `seconds`."""
     cluster = Cluster(seed, options)
     trainer = Trainer(cluster, seed)
     stop = threading.Event()
     caller = Caller(cluster, seed)
-    runs = [trainer.run, *([caller.run] if options.crashing else [])]
-    threads = [threading.Thread(target=run, args=(stop,), daemon=True) for run in runs]
+    loops = [trainer.run, *([caller.run] if options.crashing else [])]
+    threads = [
+        threading.Thread(target=loop, args=(stop,), daemon=True) for loop in loops
+    ]
     try:
         cluster.start()
         wait_ready(cluster)
@@ -53,8 +56,9 @@
         stop.set()
         for thread in threads:
             thread.join()
-        cluster.calm()
-        # A process that was told to stop is still answering calls.
+        cluster.end_faults()
+        # A terminated process answers calls until it stops: the entries count as
+        # ready only after it has stopped and been restarted.
         time.sleep(STOP_SECONDS + RESTART_SECONDS)
         wait_ready(cluster)
         trainer.finish(SETTLE_SECONDS)
@@ -63,7 +67,7 @@
     finally:
         stop.set()
         cluster.close()
-    return Played(
+    return SeedResult(
         seed,
         len(trainer.lots),
         sum(lot.accepted for lot in trainer.lots),
@@ -86,7 +90,11 @@
 
 
 def wait_accepted(trainer: Trainer) -> None:
-    """Wait until a Lot is accepted: an outage may last for all of a short play."""
+    """Wait until a Lot is accepted.
+
+    An outage that comes first could last for all of a short run, and no Lot would be
+    accepted in it.
+    """
     deadline = time.monotonic() + READY_SECONDS
     while time.monotonic() < deadline:
         if any(lot.accepted for lot in trainer.lots):
@@ -95,27 +103,29 @@
 
 
 def main() -> int:
-    """Play the seeds and print a line for each; return how many broke a promise."""
+    """Run the seeds and print a line for each; return how many had violations."""
     parser = argparse.ArgumentParser(prog="benchmarks.soak")
-    parser.add_argument("--seeds", default="1-3", help="one seed, or first-last")
-    parser.add_argument("--seconds", type=float, default=10.0, help="faults of a seed")
+    parser.add_argument(
+        "--seeds", default="1-3", help="one seed, or a range first-last"
+    )
+    parser.add_argument("--seconds", type=float, default=10.0, help="time with faults")
     parser.add_argument(
         "--one-version",
         action="store_true",
-        help="samples must come from one version, and engines change theirs",
+        help="each sample must come from one version, and engines change theirs",
     )
     parser.add_argument(
         "--scored",
         action="store_true",
-        help="samples have reward calls; targets restart under their ids",
+        help="samples have reward calls, and targets restart with the same id",
     )
     parser.add_argument(
         "--disks",
         action="store_true",
-        help="storage processes take results; disks are lost",
+        help="storage processes accept results, and disks are lost",
     )
     parser.add_argument(
-        "--clocks", action="store_true", help="times of day differ, and jump"
+        "--clocks", action="store_true", help="wall clocks differ and jump"
     )
     parser.add_argument(
         "--crashing",
@@ -123,11 +133,11 @@
         help="some requests crash the targets that run them; not with --scored",
     )
     parser.add_argument(
-        "--processes", type=int, default=OPTIONS.entries, help="entries"
+        "--processes", type=int, default=OPTIONS.entries, help="number of entries"
     )
     arguments = parser.parse_args()
     if arguments.crashing and arguments.scored:
-        parser.error("--crashing does not go with --scored")
+        parser.error("--crashing cannot be combined with --scored")
     options = Options(
         arguments.one_version,
         arguments.scored,
@@ -137,21 +147,21 @@
         arguments.processes,
     )
     first, _, last = arguments.seeds.partition("-")
-    broken = 0
+    failed_seeds = 0
     for seed in range(int(first), int(last or first) + 1):
-        played = play(seed, arguments.seconds, options)
-        broken += bool(played.violations)
+        result = run_seed(seed, arguments.seconds, options)
+        failed_seeds += bool(result.violations)
         print(
-            f"seed={seed} lots={played.lots} accepted={played.accepted} "
-            f"calls={played.calls} faults={len(played.faults)} "
-            f"violations={len(played.violations)}",
+            f"seed={seed} lots={result.lots} accepted={result.accepted} "
+            f"calls={result.calls} faults={len(result.faults)} "
+            f"violations={len(result.violations)}",
             flush=True,
         )
-        for violation in played.violations:
+        for violation in result.violations:
             print(f"  {violation}")
-        if played.violations:
-            print(f"  faults: {' '.join(played.faults)}; logs in {played.folder}")
-    return broken
+        if result.violations:
+            print(f"  faults: {' '.join(result.faults)}; logs in {result.folder}")
+    return failed_seeds
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak/cluster.py
+++ b/benchmarks/soak/cluster.py
@@ -1,4 +1,4 @@
-"""Entries and storage as processes, with stand-ins and relays around them."""
+"""Entry and storage processes, with stand-ins and relays around them."""
 
 import itertools
 import os
@@ -23,23 +23,27 @@
 from wigeonfront.http.encoding import parse_address
 
 ROOT = Path(__file__).resolve().parents[2]
-DISKS = 3
+DISK_COUNT = 3
 ENGINE_COUNT = 3
 SCORER_COUNT = 3
 CRASHER_COUNT = 3
 CRASHING_BODIES = frozenset((b"crashes you", b"crashes you, too"))
 STOP_SECONDS = 6
 RESTART_SECONDS = 0.7
-"""Pause after which a process that has ended is started again."""
+"""Pause after which a process that has ended is restarted."""
 
 WIPE_PAUSE_SECONDS = 4.0
-"""Time between two losses of a disk: one at a time is to be borne."""
+"""Minimum time between two losses of a disk.
 
-MOST_CLOCK_JUMP_SECONDS = 8.0
+The system tolerates the loss of one disk at a time.
+"""
+
+MAX_CLOCK_ERROR_SECONDS = 8.0
+"""Maximum error of a wall clock, in either direction."""
 
 _host_numbers = itertools.cycle(range(201, 250))
 
-BOOT = """
+ENTRY_SETTINGS = """
 node = "{name}"
 ip = "{host}"
 zone = "z1"
@@ -54,7 +58,7 @@
 address = "{store}"
 """
 
-DISK_BOOT = """
+STORAGE_SETTINGS = """
 node = "{name}"
 ip = "{host}"
 zone = "{name}"
@@ -69,23 +73,25 @@
 
 @dataclass(frozen=True)
 class Options:
-    """What a seed plays beside the usual faults.
+    """What a seed runs in addition to the usual faults.
 
     Attributes
     ----------
     one_version : bool
-        Samples must come from one version, and engines change theirs at any time.
+        Each sample must come from one version, and engines change theirs at any time.
     scored : bool
-        Samples have reward calls, targets start again under their ids, and other
-        writers spoil their registrations.
+        Samples have reward calls, targets restart with the same id, and other writers
+        overwrite their registrations with malformed rows.
     disks : bool
-        Storage processes take results while the store is away; they are killed, and
-        disks are lost one at a time.
+        Storage processes accept results while the store is unavailable; they are
+        killed, and disks are lost one at a time.
     clocks : bool
-        The time of day differs between processes, and jumps.
+        Wall clocks differ between processes, and jump.
     crashing : bool
-        Some plain requests crash the targets that run them; not with `scored`.
+        Some plain requests crash the targets that run them; cannot be combined with
+        `scored`.
     entries : int
+        Number of entry processes.
     """
 
     one_version: bool = False
@@ -98,7 +104,28 @@
 
 @dataclass
 class Process:
-    """One process of the system; it is started again whenever it ends."""
+    """One process of the system, which is restarted whenever it ends.
+
+    Attributes
+    ----------
+    name : str
+    role : str
+        Command of the program: ``entry`` or ``storage``.
+    host : str
+        Loopback address of the process.
+    boot : Path
+        File with its platform settings.
+    log : Path
+        File that its output is appended to.
+    clock : Path or None
+        File with the error of its wall clock; None if the clock is right.
+    popen : Popen or None
+        None until the first start.
+    paused : bool
+        Whether it was stopped with SIGSTOP.
+    held : bool
+        Whether it stays down instead of being restarted.
+    """
 
     name: str
     role: str
@@ -106,23 +133,23 @@
     boot: Path
     log: Path
     clock: Path | None = None
-    process: subprocess.Popen | None = None
+    popen: subprocess.Popen | None = None
     paused: bool = False
     held: bool = False
 
     def start(self) -> None:
-        """Start the process unless it runs."""
-        if self.process is not None and self.process.poll() is None:
+        """Start the process unless it is running."""
+        if self.popen is not None and self.popen.poll() is None:
             return
         environment = os.environ | {
             "WIGEONFRONT_BOOT": str(self.boot),
             "PYTHONPATH": f"{ROOT / 'src'}:{ROOT}",
         }
-        module = "wigeonfront" if self.clock is None else "benchmarks.soak.other_clock"
+        module = "wigeonfront" if self.clock is None else "benchmarks.soak.skewed_clock"
         if self.clock is not None:
             environment["CLOCK_FILE"] = str(self.clock)
         with self.log.open("ab") as log:
-            self.process = subprocess.Popen(
+            self.popen = subprocess.Popen(
                 [sys.executable, "-m", module, self.role],
                 env=environment,
                 stdout=log,
@@ -130,12 +157,12 @@
             )
 
     def signal(self, number: int) -> None:
-        """Send a signal if the process runs."""
-        if self.process is not None and self.process.poll() is None:
-            self.process.send_signal(number)
+        """Send a signal to the process if it is running."""
+        if self.popen is not None and self.popen.poll() is None:
+            self.popen.send_signal(number)
 
     def resume(self) -> None:
-        """Wake the process if it is paused."""
+        """Continue the process if it is paused."""
         if self.paused:
             self.signal(signal.SIGCONT)
             self.paused = False
@@ -143,7 +170,7 @@
 
 @dataclass(kw_only=True)
 class EntryProcess(Process):
-    """One entry and the relay between it and the store."""
+    """One entry process and the relay between it and the store."""
 
     front: str
     control: str
@@ -152,18 +179,23 @@
 
 @dataclass(kw_only=True)
 class DiskProcess(Process):
-    """One storage process and the folder of its disk."""
+    """One storage process and the folder that stands for its disk."""
 
     folder: Path
 
 
 class Cluster:
-    """A store, engines, entries and disks.
+    """A store, engines, services, and the entry and storage processes under test.
 
     Parameters
     ----------
     seed : int
     options : Options
+
+    Attributes
+    ----------
+    injected : list of str
+        The faults injected so far, as ``FAULT@ENTRY``.
     """
 
     def __init__(self, seed: int, options: Options) -> None:
@@ -180,14 +212,14 @@
         for engine in self.engines:
             deployment.register(self.rows, engine.id, ENGINES, engine.address)
         self.scorers = [self._scorer(n) for n in range(SCORER_COUNT if scored else 0)]
-        self._starts = itertools.count(1_000_000)
+        self._start_times = itertools.count(1_000_000)
         for scorer in self.scorers:
             deployment.register(self.rows, scorer.id, PLAIN, scorer.address)
         self.crashing_bodies = CRASHING_BODIES
         crashers = CRASHER_COUNT if options.crashing else 0
         self.crashers = [self._crasher(number) for number in range(crashers)]
         self.entries = self._entries()
-        self.disks = [self._disk(n) for n in range(DISKS if options.disks else 0)]
+        self.disks = [self._disk(n) for n in range(DISK_COUNT if options.disks else 0)]
         self._wiped_at = -WIPE_PAUSE_SECONDS
         self.injected: list[str] = []
         self._closed = threading.Event()
@@ -220,13 +252,13 @@
         hosts = [self._host() for _ in range(self.options.entries)]
         ports = [free_ports(host, 3) for host in hosts]
         seeds = [f"{host}:{own[2]}" for host, own in zip(hosts, ports, strict=True)]
-        made = []
+        entries = []
         for number, host in enumerate(hosts):
             relay = Relay(("127.0.0.1", 0), parse_address(self.store.address))
             front, ready, control = ports[number]
             boot = self.folder / f"n{number}.toml"
             boot.write_text(
-                BOOT.format(
+                ENTRY_SETTINGS.format(
                     name=f"n{number}",
                     host=host,
                     seeds=str(seeds).replace("'", '"'),
@@ -237,7 +269,7 @@
                     store=f"127.0.0.1:{relay.address[1]}",
                 )
             )
-            made.append(
+            entries.append(
                 EntryProcess(
                     f"n{number}",
                     "entry",
@@ -250,14 +282,14 @@
                     relay=relay,
                 )
             )
-        return made
+        return entries
 
     def _disk(self, number: int) -> DiskProcess:
         name, host = f"s{number}", self._host()
         boot, folder = self.folder / f"{name}.toml", self.folder / name
         seeds = [entry.control for entry in self.entries]
         boot.write_text(
-            DISK_BOOT.format(
+            STORAGE_SETTINGS.format(
                 name=name,
                 host=host,
                 folder=folder,
@@ -270,7 +302,7 @@
         return DiskProcess(name, "storage", host, boot, log, folder=folder)
 
     def _clock_file(self, name: str) -> Path | None:
-        """Return the file that tells a process how wrong its time of day is."""
+        """Return the file with the clock error of a process, or None without one."""
         if not self.options.clocks:
             return None
         path = self.folder / f"{name}.clock"
@@ -278,8 +310,8 @@
         return path
 
     def _clock_error(self) -> float:
-        most = MOST_CLOCK_JUMP_SECONDS
-        return self.random.uniform(-most, most)
+        bound = MAX_CLOCK_ERROR_SECONDS
+        return self.random.uniform(-bound, bound)
 
     @property
     def _processes(self) -> list[Process]:
@@ -290,24 +322,25 @@
         return f"{host}:{free_port(host)}"
 
     def _host(self) -> str:
-        # Apart for each process, so that nobody else takes a port that was free.
+        # The address depends on the id of this process, so that no other run of the
+        # soak binds a port between the check that it is free and its use.
         high, low = divmod(os.getpid(), 250)
         return f"127.{low + 1}.{high % 250 + 1}.{next(_host_numbers)}"
 
     def start(self) -> None:
-        """Start all, and start each again that ends, as the platform does."""
-        for one in self._processes:
-            one.start()
+        """Start all processes, and restart each that ends, as the platform does."""
+        for process in self._processes:
+            process.start()
         threading.Thread(target=self._keep_running, daemon=True).start()
 
     def _keep_running(self) -> None:
         while not self._closed.wait(RESTART_SECONDS):
-            for one in self._processes:
-                if not one.held:
-                    one.start()
+            for process in self._processes:
+                if not process.held:
+                    process.start()
 
-    def calm(self) -> None:
-        """End all faults and start what is not running."""
+    def end_faults(self) -> None:
+        """End all faults, and start the processes that are not running."""
         self.rows.faults.down = False
         self.rows.faults.lose_writes = 0
         for engine in self.engines:
@@ -323,18 +356,18 @@
             entry.resume()
             entry.relay.heal()
             entry.relay.delay = 0.0
-        for one in self._processes:
-            one.held = False
-            one.start()
+        for process in self._processes:
+            process.held = False
+            process.start()
 
     def close(self) -> None:
         """End the processes that this cluster started."""
         self._closed.set()
-        for one in self._processes:
-            one.resume()
-            one.signal(signal.SIGKILL)
-            if one.process is not None:
-                one.process.wait(5)
+        for process in self._processes:
+            process.resume()
+            process.signal(signal.SIGKILL)
+            if process.popen is not None:
+                process.popen.wait(5)
         for entry in self.entries:
             entry.relay.close()
         for server in (*self.engines, *self.scorers, *self.crashers, self.store):
@@ -343,7 +376,7 @@
     # --- faults --------------------------------------------------------------
 
     def inject(self) -> str:
-        """Begin a fault drawn at random; return its name."""
+        """Inject a fault drawn at random, and return its name."""
         name = self.random.choice(sorted(self._faults()))
         entry = self.random.choice(self.entries)
         self._faults()[name](entry)
@@ -351,10 +384,11 @@
         return name
 
     def _faults(self):
-        # What seeds draw without it stays as it was.
-        more = {"change_weights": self._change_weights} if self.one_version else {}
+        # A fault that an option adds is in the dict only with that option: the faults
+        # that a seed draws without the option stay the same.
+        optional = {"change_weights": self._change_weights} if self.one_version else {}
         if self.scored:
-            more |= {
+            optional |= {
                 "scorer_refuses": self._scorer_refuses,
                 "scorer_cuts": self._scorer_cuts,
                 "scorer_slow": self._scorer_slow,
@@ -363,15 +397,15 @@
                 "bad_row": self._bad_row,
             }
         if self.options.disks:
-            more |= {
+            optional |= {
                 "kill_disk": self._kill_disk,
                 "wipe_disk": self._wipe_disk,
                 "kill_everything": self._kill_everything,
                 "outage": self._store_down,
             }
         if self.options.clocks:
-            more["clock_jumps"] = self._clock_jumps
-        return more | {
+            optional["clock_jumps"] = self._clock_jumps
+        return optional | {
             "kill": self._kill,
             "kill_all": self._kill_all,
             "pause": self._pause,
@@ -394,34 +428,34 @@
             "configure": self._configure,
         }
 
-    def _kill(self, one: Process) -> None:
-        one.resume()
-        one.signal(signal.SIGKILL)
+    def _kill(self, process: Process) -> None:
+        process.resume()
+        process.signal(signal.SIGKILL)
 
     def _kill_disk(self, entry: EntryProcess) -> None:
         self._kill(self.random.choice(self.disks))
 
     def _wipe_disk(self, entry: EntryProcess) -> None:
-        """Lose a disk with its process."""
+        """Kill a storage process and delete its spool, if no disk was lost recently."""
         disk = self.random.choice(self.disks)
         if time.monotonic() - self._wiped_at < WIPE_PAUSE_SECONDS:
             return
         self._wiped_at = time.monotonic()
         self._kill(disk)
-        if disk.process is not None:
-            disk.process.wait(5)
+        if disk.popen is not None:
+            disk.popen.wait(5)
         (disk.folder / "spool").unlink(missing_ok=True)
 
     def _kill_everything(self, entry: EntryProcess) -> None:
-        for one in self._processes:
-            self._kill(one)
+        for process in self._processes:
+            self._kill(process)
 
     def _clock_jumps(self, entry: EntryProcess) -> None:
         if entry.clock is not None:
             entry.clock.write_text(str(self._clock_error()))
 
     def _hold(self, entry: EntryProcess) -> None:
-        """Kill the process and leave it down."""
+        """Kill the process and keep it down until `_release`."""
         entry.held = True
         self._kill(entry)
 
@@ -429,8 +463,8 @@
         entry.held = False
 
     def _kill_all(self, entry: EntryProcess) -> None:
-        for one in self.entries:
-            self._kill(one)
+        for other in self.entries:
+            self._kill(other)
 
     def _pause(self, entry: EntryProcess) -> None:
         entry.signal(signal.SIGSTOP)
@@ -478,8 +512,8 @@
         scorers = [(scorer, PLAIN) for scorer in self.scorers]
         return [*((engine, ENGINES) for engine in self.engines), *scorers]
 
-    def _register(self, target: Engine | PlainService, service: str, **more) -> None:
-        deployment.register(self.rows, target.id, service, target.address, **more)
+    def _register(self, target: Engine | PlainService, service: str, **fields) -> None:
+        deployment.register(self.rows, target.id, service, target.address, **fields)
 
     def _scorer_refuses(self, entry: EntryProcess) -> None:
         scorer = self.random.choice(self.scorers)
@@ -498,7 +532,7 @@
 
     def _restart_under_id(self, entry: EntryProcess) -> None:
         target, service = self.random.choice(self._targets())
-        self._register(target, service, born=next(self._starts))
+        self._register(target, service, born=next(self._start_times))
 
     def _bad_row(self, entry: EntryProcess) -> None:
         target, _ = self.random.choice(self._targets())
--- a/benchmarks/soak/other_clock.py
+++ b/benchmarks/soak/skewed_clock.py
@@ -1,6 +1,6 @@
-"""Runs the program with a time of day that is wrong by what a file says.
+"""Runs the program with a wall clock that is wrong by the number of seconds in a file.
 
-The steady clock stays as it is, as on a machine whose time of day is set.
+The monotonic clock stays as it is, as on a machine whose time of day is set anew.
 """
 
 import os
@@ -12,11 +12,17 @@
 
 CLOCK_FILE = "CLOCK_FILE"
 READ_SECONDS = 0.2
-"""How old the known error may be."""
+"""Maximum age of the error that was last read from the file."""
 
 
-class WrongTime:
-    """Stands for `time.time`."""
+class SkewedTime:
+    """A replacement for `time.time` that adds an error read from a file.
+
+    Parameters
+    ----------
+    path : Path
+        Holds the error in seconds, as text.
+    """
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -25,16 +31,16 @@
         self._read_at = -READ_SECONDS
 
     def __call__(self) -> float:
-        """Return the time of day, in seconds."""
+        """Return the skewed time of day, in seconds since the epoch."""
         now = time.monotonic()
         if now - self._read_at >= READ_SECONDS:
             self._read_at = now
             text = self._path.read_text()
-            # Empty while it is being written.
+            # The file is empty for a moment while it is being written.
             self._error = float(text) if text else self._error
         return self._true() + self._error
 
 
 if __name__ == "__main__":
-    time.time = WrongTime(Path(os.environ[CLOCK_FILE]))
+    time.time = SkewedTime(Path(os.environ[CLOCK_FILE]))
     sys.exit(main())
