--- a/benchmarks/days/kinds.py
+++ b/benchmarks/days/kinds.py
@@ -1,4 +1,4 @@
-"""Every kind of trouble that may come, in the variants that differ for us."""
+"""The kinds of trouble, each in the variants that this project handles differently."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True)
 class Trouble:
-    """One entry of a day.
+    """One trouble of a day: a fault or planned work.
 
     Attributes
     ----------
     name : str
-        What the day is called.
+        Name of the day that has this trouble alone.
     fields : dict
-        As the site files write it, without its time.
+        Fields of the trouble as in site files, without its time.
     planned : bool
-        It is planned work and not a fault.
+        Whether the trouble is planned work rather than a fault.
     """
 
     name: str
@@ -95,7 +95,7 @@
     _fault("replace", "replace_core", x=2.0),
     _plan("roll", "roll_term", share=1.0, x=1.0, gap_s=1.5),
     _plan("roll-busy", "roll_term", share=1.0, x=1.0, gap_s=1.5, how="busy"),
-    # Of three entries one is left after two days of it.
+    # The day has this trouble twice, which leaves one of three entries.
     _plan("roll-remove", "roll_term", count=1, how="remove"),
     _plan("add", "add_nodes", count=2),
     _plan("hup", "hup", share=1.0, gap_s=2.0),
@@ -129,4 +129,4 @@
     _plan("big-config", "big_config", count=900),
 )
 
-ALONE = TARGETS + MACHINES + STORE + CALLERS
+TROUBLES = TARGETS + MACHINES + STORE + CALLERS
--- a/benchmarks/days/timeline.py
+++ b/benchmarks/days/timeline.py
@@ -1,7 +1,8 @@
-"""Where the seconds of a trainer's step go, from the logs of a played or real day.
+"""Shows where the time of a trainer's steps goes, from the logs of a day.
 
-For each Lot the sample counts whose result made the last wanted group whole: the
-trainer waited for it. Its time is split into the stages of its life. Usage::
+The day may be played or real. In each Lot the decisive sample is the one whose result
+made the last wanted group whole, as the trainer waited for it. Its time is split into
+stages. Usage::
 
     python -m benchmarks.days.timeline LOG [--lot LOT]
 """
@@ -28,13 +29,27 @@
     "kept",
     "read",
 )
-"""Waiting for a place; runs; pauses between runs; whole until the first call; calls;
-pauses between calls; scored until kept; kept until the trainer ended the Lot."""
+"""The stages of the decisive sample, in order.
+
+``place``
+    From the submission of the Lot until the first run, while the sample waits for a
+    slot.
+``running``, ``between``
+    The runs, and the pauses between them.
+``call waits``
+    From the end of the last run until the first reward call.
+``call``, ``between calls``
+    The reward calls, and the pauses between them.
+``kept``
+    From the end of the sample until its result is kept.
+``read``
+    From then until the trainer ends the Lot.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One line of a log."""
+    """One event of a log, with its Unix time in seconds."""
 
     at: float
     name: str
@@ -43,7 +58,10 @@
 
 @dataclass(slots=True)
 class Span:
-    """Something that began and ended; without an end it was lost with its process."""
+    """A run or a reward call.
+
+    `ended` is 0 if no end is in the logs: the span was lost with its process.
+    """
 
     began: float
     ended: float = 0.0
@@ -53,7 +71,7 @@
 
 @dataclass(slots=True)
 class SampleTimes:
-    """A sample's runs and reward calls, and when it had a result."""
+    """The runs and reward calls of a sample, and the time of its result."""
 
     runs: list[Span] = field(default_factory=list)
     calls: list[Span] = field(default_factory=list)
@@ -62,7 +80,24 @@
 
 @dataclass(slots=True)
 class LotTimes:
-    """What the logs tell of one Lot."""
+    """The times of one Lot according to the logs; 0 for a time that is not known.
+
+    Attributes
+    ----------
+    id : str
+    submitted : float
+    claimed : list of float
+        Times at which an entry took the Lot over.
+    kept : list of float
+        Times at which results were written.
+    ended : float
+    decisive : str
+        Id of the sample that made the last wanted group whole; empty if none did.
+    whole_at : float
+        Time of that sample's result.
+    samples : dict of str to SampleTimes
+        By the sample's id.
+    """
 
     id: str
     submitted: float = 0.0
@@ -82,29 +117,29 @@
         if not runs:
             return {}
         text_whole = runs[-1].ended
-        found = {
+        stages = {
             "place": runs[0].began - self.submitted,
-            "running": sum(one.ended - one.began for one in runs),
+            "running": sum(run.ended - run.began for run in runs),
         }
-        found["between"] = text_whole - runs[0].began - found["running"]
+        stages["between"] = text_whole - runs[0].began - stages["running"]
         if calls:
-            found["call waits"] = calls[0].began - text_whole
-            found["call"] = sum(one.ended - one.began for one in calls)
-            found["between calls"] = calls[-1].ended - calls[0].began - found["call"]
+            stages["call waits"] = calls[0].began - text_whole
+            stages["call"] = sum(call.ended - call.began for call in calls)
+            stages["between calls"] = calls[-1].ended - calls[0].began - stages["call"]
         kept = min((at for at in self.kept if at >= self.whole_at), default=0.0)
         if kept:
-            found["kept"] = kept - self.whole_at
+            stages["kept"] = kept - self.whole_at
             if self.ended > kept:
-                found["read"] = self.ended - kept
-        return found
+                stages["read"] = self.ended - kept
+        return stages
 
 
 def read_events(lines: Iterable[str]) -> Iterator[Event]:
-    """Yield the events of a log, whatever stands before them on their lines."""
+    """Yield the events of a log; a line may have other text before its event."""
     for line in lines:
         if "event=" not in line:
             continue
-        fields = {name: _plain(value) for name, value in FIELD.findall(line)}
+        fields = {name: _unquoted(value) for name, value in FIELD.findall(line)}
         try:
             at = float(fields["time"])
         except (KeyError, ValueError):
@@ -112,7 +147,7 @@
         yield Event(at, fields.get("event", ""), fields)
 
 
-def _plain(value: str) -> str:
+def _unquoted(value: str) -> str:
     if not value.startswith('"'):
         return value
     try:
@@ -122,16 +157,16 @@
 
 
 def collect(events: Iterable[Event]) -> dict[str, LotTimes]:
-    """Return the Lots that events tell of, by their ids."""
+    """Return the Lots whose submission is among the events, by their ids."""
     lots: dict[str, LotTimes] = {}
-    for event in sorted(events, key=lambda one: one.at):
+    for event in sorted(events, key=lambda event: event.at):
         lot_id = event.fields.get("lot", "")
         if lot_id:
-            _take(lots.setdefault(lot_id, LotTimes(lot_id)), event)
+            _apply_event(lots.setdefault(lot_id, LotTimes(lot_id)), event)
     return {id: lot for id, lot in lots.items() if lot.submitted}
 
 
-def _take(lot: LotTimes, event: Event) -> None:
+def _apply_event(lot: LotTimes, event: Event) -> None:
     fields, at = event.fields, event.at
     sample = lot.samples[fields["sample"]] if "sample" in fields else None
     if event.name == "lot_submitted":
@@ -148,11 +183,11 @@
     elif event.name == "sample_sent":
         sample.runs.append(Span(at, target=fields["target"]))
     elif event.name == "sample_run":
-        _end(sample.runs, at, fields["outcome"])
+        _end_last_span(sample.runs, at, fields["outcome"])
     elif event.name == "reward_call_sent":
         sample.calls.append(Span(at, target=fields["target"]))
     elif event.name == "reward_call":
-        _end(sample.calls, at, fields["outcome"])
+        _end_last_span(sample.calls, at, fields["outcome"])
     elif event.name == "sample_finished":
         sample.finished = at
         whole = int(fields["whole_groups"]) >= int(fields["wanted_groups"])
@@ -160,17 +195,17 @@
             lot.decisive, lot.whole_at = fields["sample"], at
 
 
-def _end(spans: list[Span], at: float, outcome: str) -> None:
+def _end_last_span(spans: list[Span], at: float, outcome: str) -> None:
     if spans and not spans[-1].ended:
         spans[-1].ended, spans[-1].outcome = at, outcome
 
 
 def _ended(spans: list[Span]) -> list[Span]:
-    return [one for one in spans if one.ended]
+    return [span for span in spans if span.ended]
 
 
 def summarize(lots: Iterable[LotTimes]) -> str:
-    """Return a table of the stages, at the median and for the slowest tenth."""
+    """Return a table of the stages: median, mean, and mean of the slowest tenth."""
     whole = [lot for lot in lots if lot.decisive and lot.stages()]
     if not whole:
         return "no Lot whose wanted groups became whole"
@@ -190,7 +225,7 @@
 
 
 def describe(lot: LotTimes) -> str:
-    """Return one Lot on one line, and its decisive sample's runs and calls."""
+    """Return a line on a Lot, and one on the runs and calls of its decisive sample."""
     head = f"{lot.id} submitted {lot.submitted:.2f}"
     if not lot.decisive:
         end = f" ended {lot.ended - lot.submitted:.2f} s later" if lot.ended else ""
@@ -200,24 +235,28 @@
     claims = f", claimed {len(lot.claimed)} times" if lot.claimed else ""
     times = lot.samples[lot.decisive]
     spans = " ".join(
-        f"{kind}@{one.began - lot.submitted:.2f}:{one.outcome}:{one.target}"
+        f"{kind}@{span.began - lot.submitted:.2f}:{span.outcome}:{span.target}"
         for kind, group in (("run", times.runs), ("call", times.calls))
-        for one in group
+        for span in group
     )
     took = lot.whole_at - lot.submitted
     return f"{head} whole {took:.2f} s later{claims}: {parts}\n    {spans}"
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Print the table, and each Lot's line; return the exit code."""
-    parser = argparse.ArgumentParser(description="Where the seconds of steps go.")
-    parser.add_argument("log", type=Path, help="logs of all entries, in one file")
-    parser.add_argument("--lot", default="", help="only Lots whose ids begin so")
+    """Print the lines of each Lot and the table; return the exit code."""
+    parser = argparse.ArgumentParser(
+        description="Show where the time of a trainer's steps goes."
+    )
+    parser.add_argument("log", type=Path, help="file with the logs of all entries")
+    parser.add_argument(
+        "--lot", default="", help="show only Lots whose ids have this prefix"
+    )
     options = parser.parse_args(argv)
     with options.log.open(encoding="utf-8", errors="replace") as lines:
         lots = collect(read_events(lines))
     chosen = [lot for lot in lots.values() if lot.id.startswith(options.lot)]
-    for lot in sorted(chosen, key=lambda one: one.submitted):
+    for lot in sorted(chosen, key=lambda lot: lot.submitted):
         print(describe(lot))
     print(summarize(chosen))
     return 0
--- a/benchmarks/days/variants.py
+++ b/benchmarks/days/variants.py
@@ -1,8 +1,9 @@
 """Writes variants of a site file: ``python -m benchmarks.days.variants SITE FOLDER``.
 
-Each differs from the site in one respect that another deployment may have; the users'
-program plays them like the site itself, such as ``hunt FOLDER/streams.toml --days 4``.
-The file of the site's messages (``wire``) must lie beside them.
+Each variant differs from the site in one respect, as another deployment may. The users'
+program plays a variant like the site itself, for example with
+``hunt FOLDER/streams.toml --days 4``. The file with the site's messages (``wire``) must
+be in the same folder, and is copied there.
 """
 
 import argparse
@@ -13,49 +14,52 @@
 from pathlib import Path
 
 STREAM_CLASS = "chat"
-"""Name of the kind of streamed request that two variants add."""
+"""Name of the class of streamed requests that two variants add."""
 
-STREAMS_A_MIX = 3.0
-"""Its share of the mix, beside 6.0 of the plain requests."""
+STREAM_MIX_WEIGHT = 3.0
+"""Weight of that class in the traffic mix; plain requests have a weight of 6.0."""
 
 Change = Callable[[str], str]
 
 
 class NoChangeError(ValueError):
-    """A variant that would be the site itself."""
+    """A variant does not differ from the site."""
 
 
 def scaled(field: str, factor: float) -> Change:
-    """Return a change that multiplies each whole or decimal value of `field`."""
+    """Return a change that multiplies each value of `field` by `factor`.
+
+    Integer values stay integers and are at least 1.
+    """
 
     def change(text: str) -> str:
-        def one(match: re.Match[str]) -> str:
+        def scaled_value(match: re.Match[str]) -> str:
             value = float(match[1]) * factor
             return f"{field} = {max(1, int(value)) if '.' not in match[1] else value}"
 
-        return re.sub(rf"\b{field} = ([\d.]+)", one, text)
+        return re.sub(rf"\b{field} = ([\d.]+)", scaled_value, text)
 
     return change
 
 
-def put(old: str, new: str) -> Change:
-    """Return a change that puts `new` for each `old`."""
+def replaced(old: str, new: str) -> Change:
+    """Return a change that replaces each `old` by `new`."""
     return lambda text: text.replace(old, new)
 
 
-def all_of(*changes: Change) -> Change:
-    """Return the changes one after the other."""
+def in_sequence(*changes: Change) -> Change:
+    """Return a change that applies `changes` in order."""
 
     def change(text: str) -> str:
-        for one in changes:
-            text = one(text)
+        for step in changes:
+            text = step(text)
         return text
 
     return change
 
 
 def unsafe(text: str) -> str:
-    """Make the plain requests such that may not be repeated."""
+    """Return a site whose plain requests must not be sent twice."""
     for line in _class_lines(text, lambda fields: "lot" not in fields):
         changed = re.sub(r" \},?\s*$", ', kind = "unsafe" },', line)
         text = text.replace(line, changed, 1)
@@ -63,7 +67,13 @@
 
 
 def streams(resumable: bool) -> Change:
-    """Return a change that adds streamed requests to the first trainer's engines."""
+    """Return a change that adds streamed requests to the engines of the first trainer.
+
+    Parameters
+    ----------
+    resumable : bool
+        Whether a stream that broke off may be continued elsewhere.
+    """
 
     def change(text: str) -> str:
         line = _class_lines(text, lambda fields: "lot" in fields)[0]
@@ -76,7 +86,7 @@
             made = made.replace("resume = true", "resume = false")
         mixed = re.sub(
             r"(mix = \{ [^}]*?) \}",
-            rf"\1, {STREAM_CLASS} = {STREAMS_A_MIX} }}",
+            rf"\1, {STREAM_CLASS} = {STREAM_MIX_WEIGHT} }}",
             text,
         )
         return mixed.replace(line, f"{made}\n{line}", 1)
@@ -85,7 +95,7 @@
 
 
 def _class_lines(text: str, wanted: Callable[[dict], bool]) -> list[str]:
-    """Return the lines of the site's kinds of requests that are `wanted`."""
+    """Return the lines of the request classes whose fields satisfy `wanted`."""
     lines = [line for line in text.splitlines() if re.match(r"\s*\{ name = ", line)]
     found = []
     for line in lines:
@@ -96,12 +106,12 @@
 
 
 def _fields(line: str) -> dict:
-    """Return an entry of a list that stands on one line."""
+    """Return the table in a line that holds one entry of a list."""
     return tomllib.loads(f"a = [{line.strip().rstrip(',')}]")["a"][0]
 
 
 def on_engines(change: Change) -> Change:
-    """Return `change` for the lines of engines and of the machines beside them."""
+    """Return `change`, applied only to lines of engines and of their machines."""
 
     def changed(text: str) -> str:
         return "\n".join(
@@ -113,16 +123,16 @@
 
 
 def one_zone(text: str) -> str:
-    """Put all engines into the first failure domain."""
+    """Return a site with all engines in its first failure domain."""
     zones = [zone["name"] for zone in tomllib.loads(text)["zones"]]
-    moves = (put(f'zone = "{zone}"', f'zone = "{zones[0]}"') for zone in zones[1:])
-    return on_engines(all_of(*moves))(text)
+    moves = (replaced(f'zone = "{zone}"', f'zone = "{zones[0]}"') for zone in zones[1:])
+    return on_engines(in_sequence(*moves))(text)
 
 
 def sides(count: int) -> Change:
-    """Return a change that leaves `count` machines with a side in each class of them.
+    """Return a change that leaves `count` machines in each class with a side.
 
-    The engines stay, so that most have no process of the system beside them.
+    The engines stay, so that most of them have no side on their machine.
     """
 
     def change(text: str) -> str:
@@ -139,7 +149,7 @@
 
 
 VARIANTS: dict[str, Change] = {
-    "one-version": put("pure = false", "pure = true"),
+    "one-version": replaced("pure = false", "pure = true"),
     "streams": streams(resumable=True),
     "streams-once": streams(resumable=False),
     "unsafe": unsafe,
@@ -148,7 +158,7 @@
     "many-engines": on_engines(scaled("count", 2.0)),
     "few-places": scaled("slots", 1 / 3),
     "little-memory": scaled("memory_mb", 0.27),
-    "slow-machines": all_of(scaled("cpu_share", 0.3), scaled("sync_ms", 60.0)),
+    "slow-machines": in_sequence(scaled("cpu_share", 0.3), scaled("sync_ms", 60.0)),
     "small-engine-memory": scaled("kv_tokens", 0.4),
     "two-sides": sides(2),
     "one-side": sides(1),
@@ -157,7 +167,13 @@
 
 
 def write(site: Path, folder: Path) -> list[Path]:
-    """Write all variants of `site` to `folder`; return their paths."""
+    """Write all variants of `site` to `folder`; return their paths.
+
+    Raises
+    ------
+    NoChangeError
+        If a variant does not differ from the site.
+    """
     text = site.read_text()
     folder.mkdir(parents=True, exist_ok=True)
     written = []
@@ -176,7 +192,7 @@
 
 
 def main() -> None:
-    """Write the variants and print where they are."""
+    """Write the variants and print their paths."""
     parser = argparse.ArgumentParser(prog="benchmarks.days.variants")
     parser.add_argument("site", type=Path)
     parser.add_argument("folder", type=Path)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""What `benchmarks.days` writes for the users' program."""
+"""Variants of site files, and scores read from a journal."""
 
 import json
 import tomllib
@@ -49,7 +49,7 @@
         ("streams", ("classes", 1, "name"), "chat"),
         ("streams", ("classes", 1, "stream", "resume"), True),
         ("streams", ("classes", 2, "name"), "rollouts"),
-        ("streams", ("traffic", 0, "mix", "chat"), variants.STREAMS_A_MIX),
+        ("streams", ("traffic", 0, "mix", "chat"), variants.STREAM_MIX_WEIGHT),
         ("streams-once", ("classes", 1, "stream", "resume"), False),
         ("unsafe", ("classes", 0, "kind"), "unsafe"),
         ("unsafe", ("classes", 1, "kind"), "rollout"),
@@ -72,19 +72,19 @@
     assert found == value
 
 
-def test_streams_are_no_lots(written):
+def test_added_streams_are_not_lots(written):
     for name in ("streams", "streams-once"):
         assert {"kind", "only", "lot"}.isdisjoint(written[name]["classes"][1])
 
 
-def test_a_site_that_a_variant_does_not_change_is_told(tmp_path):
+def test_a_variant_that_changes_nothing_is_an_error(tmp_path):
     site = tmp_path / "site.toml"
     site.write_text(SITE.replace("pure = false", "pure = true"))
     with pytest.raises(variants.NoChangeError):
         variants.write(site, tmp_path / "out")
 
 
-def test_the_journal_is_read_score_by_score(tmp_path):
+def test_complete_scores_of_standard_days_are_read_from_a_journal(tmp_path):
     days = [{"name": "quiet-1", "G": 0.9}, {"name": "fresh-1a2b", "G": 0.2}]
     entry = {"cmd": "score", "site": "a", "at": ["2026-01-02"], "lines": 7}
     entry["argv"] = [".../a.toml", "--jobs", "6"]
@@ -95,8 +95,8 @@
         entry | {"argv": [".../streams.toml"], "days": days},
         entry | {"days": []},
     ]
-    for number, each in enumerate(entries):
-        (tmp_path / f"{number}.json").write_text(json.dumps(each))
+    for number, entry in enumerate(entries):
+        (tmp_path / f"{number}.json").write_text(json.dumps(entry))
     assert plots.read_scores(tmp_path) == [
         plots.Score("a", "2026-01-01", 7, {"quiet-1": 0.5}),
         plots.Score("a", "2026-01-02", 7, {"quiet-1": 0.9}),
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Where the seconds of a step go, read from logs."""
+"""The stages of a step's time, read from logs."""
 
 import pytest
 
@@ -35,7 +35,7 @@
 }
 
 
-def test_a_decisive_samples_time_is_split_into_its_stages():
+def test_the_time_of_a_decisive_sample_is_split_into_stages():
     lots = collect(read_events(LOG.splitlines()))
     assert set(lots) == {"l1"}
     assert lots["l1"].decisive == "a"
@@ -53,7 +53,7 @@
     assert "until whole" in printed
 
 
-def test_a_lot_that_never_became_whole_is_said_so():
+def test_a_lot_that_never_became_whole_is_reported_as_such():
     lines = LOG.replace("sample_finished", "other").splitlines()
     (lot,) = collect(read_events(lines)).values()
     assert "never whole" in describe(lot)
