--- a/benchmarks/mutations/__init__.py
+++ b/benchmarks/mutations/__init__.py
@@ -1,1 +1,1 @@
-"""One-line changes to decisions, each of which the tests must notice."""
+"""Mutation tests: small changes to decisions in the code that the tests must detect."""
--- a/benchmarks/mutations/__main__.py
+++ b/benchmarks/mutations/__main__.py
@@ -1,7 +1,7 @@
-"""Plays the changes against the tests that must notice them.
+"""Runs the tests of each mutation, which must detect it.
 
-Usage: ``make bench BENCH=mutations``. Each change is made in a scratch copy; one that
-all its tests pass with is named, and the exit code is 1.
+Usage: ``make bench BENCH=mutations``. Each mutation is applied to a scratch copy. If
+all its tests pass, its name is printed and the exit code is 1.
 """
 
 import argparse
@@ -18,25 +18,27 @@
 from benchmarks.mutations.decisions import MUTATIONS, Mutation
 
 ROOT = Path(__file__).resolve().parents[2]
-COPIED = ("src", "tests", "examples", "benchmarks", "pyproject.toml")
-LEFT_OUT = shutil.ignore_patterns("__pycache__", "*.egg-info")
-PLAY_SECONDS = 300
+COPIED_PATHS = ("src", "tests", "examples", "benchmarks", "pyproject.toml")
+IGNORED_FILES = shutil.ignore_patterns("__pycache__", "*.egg-info")
+TEST_TIMEOUT_SECONDS = 300
+"""Timeout for the tests of one mutation."""
+
 FAILED_TESTS = 1
-"""Exit code of pytest where tests have failed, and nothing else went wrong."""
+"""Exit code of pytest if tests have failed and nothing else went wrong."""
 
 
-def is_noticed(mutation: Mutation) -> bool:
-    """Make the change in a scratch copy, and tell whether a test fails with it.
+def is_detected(mutation: Mutation) -> bool:
+    """Apply a mutation to a scratch copy; return whether one of its tests fails.
 
     Raises
     ------
     RuntimeError
-        When the tests could not be run.
+        If the tests could not be run.
     """
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
         copy = Path(folder)
         _copy(copy)
-        mutation.change.take_out(copy)
+        mutation.change.apply(copy)
         ended = _run_tests(copy, mutation.tests)
     if ended.returncode not in (0, FAILED_TESTS):
         raise RuntimeError(f"{mutation.change.name}: {ended.stdout[-2000:]}")
@@ -44,10 +46,10 @@
 
 
 def _copy(folder: Path) -> None:
-    for name in COPIED:
+    for name in COPIED_PATHS:
         source = ROOT / name
         if source.is_dir():
-            shutil.copytree(source, folder / name, ignore=LEFT_OUT)
+            shutil.copytree(source, folder / name, ignore=IGNORED_FILES)
         else:
             shutil.copy(source, folder / name)
 
@@ -61,32 +63,38 @@
             "pytest",
             "-x",
             "-q",
-            *(f"tests/{one}" for one in tests),
+            *(f"tests/{test}" for test in tests),
         ],
         cwd=copy,
         env=os.environ | {"PYTHONPATH": paths},
         capture_output=True,
         text=True,
-        timeout=PLAY_SECONDS,
+        timeout=TEST_TIMEOUT_SECONDS,
     )
 
 
 def main() -> int:
-    """Play all changes, or those whose names hold a word."""
+    """Run all mutations, or those whose names contain a word."""
     flags = argparse.ArgumentParser("python -m benchmarks.mutations", None, __doc__)
-    flags.add_argument("word", nargs="?", default="", help="only names that hold it")
+    flags.add_argument(
+        "word", nargs="?", default="", help="run only mutations whose names contain it"
+    )
     flags.add_argument("--jobs", type=int, default=4)
     arguments = flags.parse_args()
-    chosen = [one for one in MUTATIONS if arguments.word in one.change.name]
+    chosen = [
+        mutation for mutation in MUTATIONS if arguments.word in mutation.change.name
+    ]
     with ThreadPoolExecutor(arguments.jobs) as executor:
-        played = executor.map(is_noticed, chosen)
-        noticed = list(tqdm(played, total=len(chosen), unit="change"))
+        results = executor.map(is_detected, chosen)
+        detected = list(tqdm(results, total=len(chosen), unit="change"))
     missed = [
-        one.change.name for one, seen in zip(chosen, noticed, strict=True) if not seen
+        mutation.change.name
+        for mutation, found in zip(chosen, detected, strict=True)
+        if not found
     ]
-    print(f"{len(chosen) - len(missed)} of {len(chosen)} noticed")
+    print(f"{len(chosen) - len(missed)} of {len(chosen)} detected")
     for name in missed:
-        print(f"not noticed: {name}")
+        print(f"not detected: {name}")
     return 1 if missed else 0
 
 
--- a/benchmarks/mutations/decisions.py
+++ b/benchmarks/mutations/decisions.py
@@ -1,4 +1,4 @@
-"""The changes, and the tests that must notice each."""
+"""The mutations, and the tests that must detect each."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """A change of a decision.
+    """A change to a decision in the code.
 
     Attributes
     ----------
     change : Mechanism
-        The lines that are replaced.
+        The name of the mutation, and the lines that it replaces.
     tests : tuple of str
-        Test files, below ``tests``, that must fail with it.
+        Test files in ``tests`` that must detect it: at least one test must fail.
     """
 
     change: Mechanism
@@ -27,7 +27,7 @@
 
 MUTATIONS = (
     _mutation(
-        "a lapsed registration is held for ever",
+        "a lapsed registration is kept for ever",
         "node/following.py",
         "if around_outage and (mirror.failing or now < back_by):",
         "if around_outage:",
@@ -41,35 +41,35 @@
         "test_target_follower.py",
     ),
     _mutation(
-        "words of an earlier start count",
+        "rows of an earlier incarnation are accepted",
         "node/following.py",
         "if target.started_ms < self._starts.get(target.name, 0):",
         "if False:",
         "test_target_follower.py",
     ),
     _mutation(
-        "a run has one second",
+        "a run gets only one second",
         "rollout/runner.py",
         "max(MIN_RUN_SECONDS, run.progress.gives_up_at - started)",
         "1.0",
         "test_lot_runner.py",
     ),
     _mutation(
-        "samples wait in no order",
+        "waiting samples are not ordered by their latest start",
         SCHEDULING,
         "UNRANKED), sample.latest_start)",
         "UNRANKED), 0.0)",
         "test_scheduling.py",
     ),
     _mutation(
-        "weights may be any",
+        "engines with weights that are too old are used",
         SCHEDULING,
         "return version is None or version >= self.min_version",
         "return True",
         "test_scheduling.py",
     ),
     _mutation(
-        "a text goes on at any version",
+        "a text is continued with any version",
         SCHEDULING,
         "return version == self.text_version",
         "return True",
@@ -77,7 +77,7 @@
         "test_lot_runner.py",
     ),
     _mutation(
-        "leaving engines get samples",
+        "draining engines get samples",
         SCHEDULING,
         "if not view.draining\n        and view.available",
         "if view.available",
@@ -105,14 +105,14 @@
         "test_scheduling.py",
     ),
     _mutation(
-        "a full engine's silence is waited for no longer",
+        "a full engine gets no longer timeout for its first event",
         SCHEDULING,
         "if view.load >= view.target.slots:\n        return MAX_FIRST",
         "if False:\n        return MAX_FIRST",
         "test_scheduling.py",
     ),
     _mutation(
-        "short places are not shared",
+        "scarce slots are not shared between owners",
         SCHEDULING,
         "or view.in_flight < own_share",
         "",
@@ -120,28 +120,28 @@
         "test_scheduling.py",
     ),
     _mutation(
-        "results wait for their batch though all are there",
+        "results wait for their batch although all are complete",
         SCHEDULING,
         "URGENT_BATCH_SECONDS if all_done or groups_done else BATCH_SECONDS",
         "BATCH_SECONDS",
         "test_scheduling.py",
     ),
     _mutation(
-        "texts are never kept",
+        "snapshots of texts are never kept",
         SCHEDULING,
         "return any(state.unsaved for state in progress.open.values())",
         "return False",
         "test_scheduling.py",
     ),
     _mutation(
-        "overload is never seen",
+        "overload is never detected",
         "rollout/overload.py",
         "if needed > slots * _time_left(progress, now):",
         "if False:",
         "test_overload.py",
     ),
     _mutation(
-        "groups that are begun wait like others",
+        "groups that are begun get no precedence",
         "rollout/overload.py",
         "return GroupRank(late, 0 if found.begun else 1, found.seconds)",
         "return GroupRank(late, 1, found.seconds)",
@@ -155,14 +155,14 @@
         "test_overload.py",
     ),
     _mutation(
-        "a Lot whose owner lives is claimed",
+        "a Lot whose owner is alive is claimed",
         "rollout/ownership.py",
         "if head.owner in live:\n            continue",
         "if False:\n            continue",
         "test_lot_ownership.py",
     ),
     _mutation(
-        "a Lot is claimed without grace",
+        "a Lot is claimed without a grace period",
         "rollout/ownership.py",
         "if not restarted:\n            waited -= grace",
         "if False:\n            waited -= grace",
@@ -176,28 +176,28 @@
         "test_lot_ownership.py",
     ),
     _mutation(
-        "a leaving entry owns new Lots",
+        "a draining entry owns new Lots",
         "rollout/ownership.py",
         "if member.failure_domain == failure_domain and not member.leaving",
         "if member.failure_domain == failure_domain",
         "test_lot_ownership.py",
     ),
     _mutation(
-        "small entries own new Lots",
+        "entries with few cores own new Lots",
         "rollout/ownership.py",
         "if member.cores >= MIN_CORES_SHARE * max_cores",
         "if True",
         "test_lot_ownership.py",
     ),
     _mutation(
-        "an engine that moves keeps its holder",
+        "an engine that is reassigned keeps its holder",
         "coordination/assignment.py",
         "if self.before is not None and self.before.holder(subject) != now:",
         "if False:",
         "test_assignment.py",
     ),
     _mutation(
-        "a change follows one that is not settled",
+        "an assignment changes before the last change is settled",
         "coordination/assignment.py",
         "if current.before is not None:\n        return None",
         "if False:\n        return None",
@@ -225,14 +225,14 @@
         "test_weight_plan.py",
     ),
     _mutation(
-        "engines that are far behind wait for their turn",
+        "engines that lag far behind wait for their turn",
         "weights/plan.py",
         "if _lag(report, newer) > ALLOWED_LAG + 1:",
         "if False:",
         "test_weight_plan.py",
     ),
     _mutation(
-        "what may have run is sent again",
+        "a request that may have run is sent again",
         "forwarding/steps.py",
         "if state.repeatable and state.may_send:\n"
         "        return Retry(outcome.reason)\n"
@@ -243,14 +243,14 @@
         "test_forwarding_steps.py",
     ),
     _mutation(
-        "503 though it may have run",
+        "503 although the request may have run",
         "forwarding/steps.py",
         "if may_have_run:\n        return Fail(BAD_GATEWAY, reason)",
         "if False:\n        return Fail(BAD_GATEWAY, reason)",
         "test_forwarding_steps.py",
     ),
     _mutation(
-        "one target may take all of the time",
+        "one target may use all of the time that is left",
         "forwarding/steps.py",
         "return min(patience, state.seconds_left)",
         "return state.seconds_left",
@@ -265,42 +265,42 @@
         "test_forwarding.py",
     ),
     _mutation(
-        "a keyed request whose process has just started may have run",
+        "a keyed request counts as lost once its process is missing for a moment",
         "forwarding/idempotency.py",
         "elif now - missing_since >= OWNER_MISSING_SECONDS:",
         "elif True:",
         "test_idempotency.py",
     ),
     _mutation(
-        "a key's record is written over",
+        "the record of an idempotency key is overwritten",
         "forwarding/idempotency.py",
         "(Expect(row_key, 0),), (Put(row_key, value, lease),)",
         "(), (Put(row_key, value, lease),)",
         "test_idempotency.py",
     ),
     _mutation(
-        "circuits never open in a row",
+        "circuits never open after consecutive failures",
         "targets/circuit.py",
         "if circuit.consecutive >= self._settings.consecutive:",
         "if False:",
         "test_circuit.py",
     ),
     _mutation(
-        "all targets of a service may be left",
+        "circuits of all targets of a service may be open",
         "targets/circuit.py",
         "return ejected < allowed",
         "return True",
         "test_circuit.py",
     ),
     _mutation(
-        "reward calls take all places at once",
+        "reward calls take all slots at once",
         "rollout/reward_scheduling.py",
         "grown = min(1.0, max(0.0, waited) / FULL_AFTER_SECONDS)",
         "grown = 1.0",
         "test_reward_scheduling.py",
     ),
     _mutation(
-        "a reward call goes to the target that failed it",
+        "a reward call is retried at the target that failed it",
         "rollout/reward_scheduling.py",
         "return choose_target(fresh or with_room, (), failure_domain)",
         "return choose_target(with_room, (), failure_domain)",
@@ -314,7 +314,7 @@
         "test_membership.py",
     ),
     _mutation(
-        "a feed that knows nothing new is followed",
+        "a feed without recent news is followed",
         "coordination/feed.py",
         "elif answer is not None and answer.age <= self._max_age:",
         "elif answer is not None:",
@@ -322,14 +322,14 @@
         "test_store_relay.py",
     ),
     _mutation(
-        "a relayed write that was lost counts as not made",
+        "a relayed write whose answer is lost counts as not made",
         "coordination/relay.py",
         "if in_doubt and isinstance(call, WriteCall | GrantCall):",
         "if False:",
         "test_store_relay.py",
     ),
     _mutation(
-        "a failed attempt is repeated for ever",
+        "a failed attempt is retried for ever",
         "rollout/after_run.py",
         "if run.state.failures >= run.progress.lot.max_attempts:",
         "if False:",
@@ -337,7 +337,7 @@
         "test_entry_node.py",
     ),
     _mutation(
-        "texts of weights that are too old are taken",
+        "texts of weights that are too old are accepted",
         "rollout/after_run.py",
         "    if _fits(run):\n        return TextWhole()",
         "    if True:\n        return TextWhole()",
@@ -345,7 +345,7 @@
         "test_entry_node.py",
     ),
     _mutation(
-        "a sealed disk takes an earlier owner's results",
+        "a sealed disk accepts results of an earlier owner",
         "spool/contents.py",
         "        if one is not None and call.fence < one.fence:",
         "        if False:",
@@ -359,91 +359,91 @@
         "test_spool.py",
     ),
     _mutation(
-        "results behind a gap are taken",
+        "results after a gap are accepted",
         "spool/contents.py",
         "        if call.position > call.kept:",
         "        if False:",
         "test_spool.py",
     ),
     _mutation(
-        "results that a later owner has replaced are taken",
+        "results that a later owner has replaced are accepted",
         "rollout/spooling.py",
         "    if list(items[:common]) != list(kept[position : position + common]):",
         "    if False:",
         "test_spool.py",
     ),
     _mutation(
-        "results are shown that one disk lacks",
+        "results that one disk lacks are shown",
         "spool/client.py",
         "            if not isinstance(answer, Done):",
         "            if False:",
         "test_spooling.py",
     ),
     _mutation(
-        "a Lot is ended without what is on the spool alone",
+        "a Lot is ended without the results that only the spool has",
         "rollout/lots.py",
         "        if progress.possibly_shown <= len(progress.kept):",
         "        if True:",
         "test_spooling.py",
     ),
     _mutation(
-        "an empty page where results may have been shown",
+        "an empty page is given although results may have been shown",
         "rollout/known_lots.py",
         "if after >= len(known.results) and not known.complete and not ended:",
         "if False:",
         "test_spooling.py",
     ),
     _mutation(
-        "a Lot is run here again under one revision",
+        "a Lot is run again under the same revision",
         "rollout/takeover.py",
         "ran_before = self._runner.has_run(lot_id, revision)",
         "ran_before = False",
         "test_spooling.py",
     ),
     _mutation(
-        "results go to the spool while the store may yet answer",
+        "results go to the spool although the store may still answer",
         "rollout/spooling.py",
         "    if now - progress.writing_since < SPOOL_AFTER_SECONDS:",
         "    if False:",
         "test_spooling.py",
     ),
     _mutation(
-        "a batch that is written twice counts for the next",
+        "the second answer for a batch counts for the next batch",
         "rollout/progress.py",
         "        if position == len(self.kept):",
         "        if True:",
         "test_result_writer.py",
     ),
     _mutation(
-        "what is given up is closed as if it were whole",
+        "an abandoned connection is closed without a reset",
         "forwarding/connections.py",
         "            self.sock.setsockopt(*RESET_ON_CLOSE)",
         "            pass",
         "test_forwarding.py",
     ),
     _mutation(
-        "an API key goes on to the target",
+        "an API key is forwarded to the target",
         "platform/target_calls.py",
         "        dropped.add(names.AUTHORIZATION.lower())",
         "        pass",
         "test_account_calls.py",
     ),
     _mutation(
-        "the client says which account it is",
+        "the account header of a client is forwarded",
         "platform/target_calls.py",
         "        sent.discard(names.TENANT)",
         "        pass",
         "test_account_calls.py",
     ),
     _mutation(
-        "an unknown key is refused for good by an old copy",
+        "an outdated copy refuses an unknown key permanently",
         "accounts/admission.py",
         "    if age > bounds.fresh_seconds:",
         "    if False:",
         "test_accounts.py",
     ),
     _mutation(
-        "a key is served however old the copy is",
+        "a key is accepted however old the copy is",
         "accounts/admission.py",
         "    if bounds.strict and age > bounds.revoke_seconds:",
         "    if False:",
@@ -471,7 +471,7 @@
         "test_usage.py",
     ),
     _mutation(
-        "a holder sends without a right",
+        "a report is sent without a fencing token",
         "usage/reporting.py",
         "            if fence is None:",
         "            fence = fence or 1\n            if fence is None:",
@@ -492,21 +492,21 @@
         "test_usage.py",
     ),
     _mutation(
-        "windows wait for nobody",
+        "windows are fixed without waiting for late entries",
         "usage/windows.py",
         "        if heard < end and now < end + GIVE_UP_SHARE * bounds.due:",
         "        if False:",
         "test_usage.py",
     ),
     _mutation(
-        "a request that was refused counts as begun",
+        "a request that was refused counts as started",
         "forwarding/forwarder.py",
         "            note.withdraw()",
         "            pass",
         "test_platform_machines.py",
     ),
     _mutation(
-        "holders are missed for the time of an outage",
+        "holders count as absent during an outage",
         "node/assigning.py",
         "name: now - max(at, mirror.regained_at)",
         "name: now - at",
@@ -534,14 +534,14 @@
         "test_crashing_requests.py",
     ),
     _mutation(
-        "crashes of other entries are not heard of",
+        "crashes at other entries are not learned",
         "node/entry.py",
         "        self._ledger.update(state.rows, state.revision)\n",
         "",
         "test_crashing_requests.py",
     ),
     _mutation(
-        "crashes at one moment quarantine a request",
+        "simultaneous crashes count as sequential",
         "quarantine/policy.py",
         "        if crash.sent_at >= ended_at:",
         "        if True:",
@@ -555,7 +555,7 @@
         "test_quarantine.py",
     ),
     _mutation(
-        "suspects that run are not known",
+        "running suspects are not tracked",
         "quarantine/guard.py",
         "        if not digest or not self._ledger.crashes(digest):",
         "        if True:",
@@ -569,14 +569,14 @@
         "test_quarantine.py",
     ),
     _mutation(
-        "planned ends are crashes",
+        "planned shutdowns are crashes",
         "quarantine/guard.py",
         "        if known is not None and known.draining:",
         "        if False:",
         "test_quarantine.py",
     ),
     _mutation(
-        "an answer clears nothing",
+        "an answer does not clear crashes",
         "quarantine/guard.py",
         "        if self._ledger.clear(digest):",
         "        if False:",
@@ -598,35 +598,35 @@
         "test_quarantine.py",
     ),
     _mutation(
-        "a crash on a kept connection is a send that never was",
+        "a crash on a reused connection counts as not sent",
         "forwarding/exchange.py",
         "(silent or _target_ended(second))",
         "silent",
         "test_forwarding.py",
     ),
     _mutation(
-        "a refusal on a second connection is certain",
+        "a refusal after a silent connection counts as certain",
         "forwarding/exchange.py",
         "(silent or _target_ended(second))",
         "_target_ended(second)",
         "test_forwarding.py",
     ),
     _mutation(
-        "a silent kept connection is waited for",
+        "a silent reused connection gets the whole deadline",
         "forwarding/exchange.py",
         "until = min(deadline, reuse_deadline)",
         "until = deadline",
         "test_forwarding.py",
     ),
     _mutation(
-        "the only target is left at half of the time",
+        "the only target is abandoned at half of the time",
         "forwarding/forwarder.py",
         "until = patience if len(usable) > 1 else deadline",
         "until = patience",
         "test_forwarding.py",
     ),
     _mutation(
-        "a Lot that the store lacks is unknown at once",
+        "a Lot that the store lacks is unknown although disks may have it",
         "rollout/known_lots.py",
         "            if doubt:",
         "            if False:",
@@ -648,28 +648,28 @@
         "test_submissions.py",
     ),
     _mutation(
-        "results without an answer are read nowhere",
+        "results whose write is in doubt count as never read",
         "rollout/progress.py",
         "return max(self.possibly_kept, self.possibly_shown)",
         "return self.possibly_shown",
         "test_results_in_doubt.py",
     ),
     _mutation(
-        "what the last owner showed was read nowhere",
+        "results that an earlier owner showed count as never read",
         "rollout/progress.py",
         "return max(self.possibly_kept, self.possibly_shown)",
         "return self.possibly_kept",
         "test_spooling.py",
     ),
     _mutation(
-        "a lost answer is a refusal",
+        "a lost answer counts as a refusal",
         "rollout/progress.py",
         "            self._answer_lost = True",
         "            pass",
         "test_results_in_doubt.py",
     ),
     _mutation(
-        "an owner is always sure",
+        "an owner is always sure of its Lots",
         "rollout/ownership.py",
         "return now < presence.until + OWNER_GRACE_SECONDS - CLOCK_MARGIN_SECONDS",
         "return True",
@@ -677,7 +677,7 @@
         "test_owner_cut_off.py",
     ),
     _mutation(
-        "a registration was never missing",
+        "a registration never counts as lost",
         "coordination/membership.py",
         "still_registered = self._clock.boottime() < self._presence.until",
         "still_registered = True",
--- a/benchmarks/rounds/__main__.py
+++ b/benchmarks/rounds/__main__.py
@@ -1,8 +1,9 @@
 """Compares two checkouts: ``python -m benchmarks.rounds --help``.
 
-A change is kept if its mean gain is over two standard errors, or if callers get more
-in a test that plays the load and no site falls. Single plays of one version differ by
-0.2 and more, so each day is played with several seeds by both versions.
+A change is kept if its mean gain is more than two standard errors. It is also kept if
+callers get more in a test that plays the load, and no site loses worth. Single plays of
+the same version differ by 0.2 and more, so both versions play each day with several
+seeds.
 """
 
 import argparse
@@ -23,21 +24,36 @@
 def chosen_plays(
     sites: list[Path], days: list[str], seeds: int, vary: bool
 ) -> list[Play]:
-    """Return the plays: each day with the first, second and so on of the seeds."""
+    """Return the plays of all sites, ordered by site, seed and day.
+
+    Parameters
+    ----------
+    sites : list of Path
+        Site files.
+    days : list of str
+        Prefixes of the names of days; empty for all days.
+    seeds : int
+        Number of seeds, from `FIRST_SEED` on.
+    vary : bool
+        Whether seeds vary the troubles too.
+    """
     found = []
     for site in sites:
         names = [day["name"] for day in tomllib.loads(site.read_text())["day"]]
         for number in range(seeds):
             for name in names:
-                if not days or any(name.startswith(begin) for begin in days):
+                if not days or any(name.startswith(prefix) for prefix in days):
                     found.append(Play(site, name, FIRST_SEED + number, vary))
     return found
 
 
 def play_pairs(arguments: argparse.Namespace, plays: list[Play]) -> Iterator[Pair]:
-    """Play every day by both versions side by side; yield the pairs as they come."""
+    """Play each day with both versions, and yield the pairs as they are completed.
 
-    def both(what: Play) -> tuple[Play, list[Figures | NotPlayed]]:
+    A day that a version could not play is reported on stderr and left out.
+    """
+
+    def play_both(what: Play) -> tuple[Play, list[Figures | NotPlayed]]:
         found = []
         for label, checkout in (
             ("before", arguments.before),
@@ -48,10 +64,14 @@
         return what, found
 
     with ThreadPoolExecutor(arguments.jobs) as executor:
-        for number, (what, figures) in enumerate(executor.map(both, plays), 1):
+        for number, (what, figures) in enumerate(executor.map(play_both, plays), 1):
             before, after = figures
             if isinstance(before, NotPlayed) or isinstance(after, NotPlayed):
-                reasons = [one.reason for one in figures if isinstance(one, NotPlayed)]
+                reasons = [
+                    outcome.reason
+                    for outcome in figures
+                    if isinstance(outcome, NotPlayed)
+                ]
                 print(f"{what.name}: not played: {reasons}", file=sys.stderr)
                 continue
             pair = Pair(what, before, after)
@@ -65,8 +85,8 @@
 
 
 def plot(pairs: list[Pair], path: Path) -> None:
-    """Draw the worth of each pair, before against after."""
-    # Only this command needs the library.
+    """Draw the worth of each pair: with the code after over that before."""
+    # Imported here, as only this command needs matplotlib.
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(5, 5))
@@ -83,24 +103,30 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Play the pairs and print what they say."""
+    """Play the pairs and print the comparison."""
     parser = argparse.ArgumentParser(prog="benchmarks.rounds")
     parser.add_argument("--bench", type=Path, required=True, help="the users' program")
     parser.add_argument("--site", type=Path, action="append", required=True)
-    parser.add_argument("--before", type=Path, required=True, help="a checkout")
-    parser.add_argument("--after", type=Path, required=True, help="another checkout")
-    parser.add_argument("--day", action="append", default=[], help="names begin so")
+    parser.add_argument(
+        "--before", type=Path, required=True, help="a checkout of the code before"
+    )
+    parser.add_argument(
+        "--after", type=Path, required=True, help="a checkout of the code after"
+    )
+    parser.add_argument("--day", action="append", default=[], help="prefix of the days")
     parser.add_argument("--seeds", type=int, default=3)
-    parser.add_argument("--vary", action="store_true", help="vary the troubles too")
+    parser.add_argument(
+        "--vary", action="store_true", help="vary the troubles by the seed too"
+    )
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--why", required=True, help="the change, for the journal")
-    parser.add_argument("--json", type=Path, help="where the figures go")
-    parser.add_argument("--plot", type=Path, help="where the picture goes")
+    parser.add_argument("--json", type=Path, help="file for the figures")
+    parser.add_argument("--plot", type=Path, help="file for the picture")
     arguments = parser.parse_args(argv)
     plays = chosen_plays(arguments.site, arguments.day, arguments.seeds, arguments.vary)
     pairs = list(play_pairs(arguments, plays))
     if not pairs:
-        print("nothing was played", file=sys.stderr)
+        print("no pair was played", file=sys.stderr)
         return 1
     print(table(pairs))
     if arguments.json:
--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -1,7 +1,7 @@
-"""The mechanisms that the ablation takes out, each with its neutral form.
+"""The mechanisms that the ablation disables, each with its neutral form.
 
-A neutral form is a few replaced lines; `copy_without` puts it into a copy of a
-checkout.
+A neutral form replaces a few lines of the code, so that the mechanism has no effect.
+`copy_without` applies it to a copy of a checkout.
 """
 
 import shutil
@@ -11,41 +11,48 @@
 PACKAGE = Path("src/wigeonfront")
 
 BUILT_FROM = ("src", "deploy", "pyproject.toml", "README.md")
-"""What the users' program builds and plays: the rest may change while it is copied."""
+"""Paths that the users' program needs to build and play the code.
 
-LEFT_OUT = shutil.ignore_patterns("__pycache__", "*.egg-info")
+Nothing else is copied, as other files may change during the copy.
+"""
+
+IGNORED_FILES = shutil.ignore_patterns("__pycache__", "*.egg-info")
 
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """A mechanism and the lines that take it out.
+    """A mechanism and the changes to the code that disable it.
 
     Attributes
     ----------
     name : str
+        The key of the mechanism in results files and for ``--only``.
     file : str
-        Below the package.
+        Path in the package.
     changes : tuple of pairs
-        Text that stands there once, and what takes its place.
+        A text that the file contains once, and its replacement.
     """
 
     name: str
     file: str
     changes: tuple[tuple[str, str], ...]
 
-    def take_out(self, checkout: Path) -> None:
-        """Put the neutral form into a checkout.
+    def apply(self, checkout: Path) -> None:
+        """Replace the lines in a checkout by the neutral form.
 
         Raises
         ------
         ValueError
-            When a text does not stand there once: the list is out of date.
+            If the file does not contain a text exactly once, as the changes do not
+            match the code any more.
         """
         path = checkout / PACKAGE / self.file
         text = path.read_text()
         for old, new in self.changes:
             if text.count(old) != 1:
-                raise ValueError(f"{self.name}: {old!r} is {text.count(old)} times")
+                raise ValueError(
+                    f"{self.name}: {self.file} has {old!r} {text.count(old)} times"
+                )
             text = text.replace(old, new)
         path.write_text(text)
 
@@ -68,7 +75,7 @@
         "pace of engines", SCHEDULING, (("(view.latency or typical) *", "typical *"),)
     ),
     Mechanism(
-        "runs and paces told",
+        "engine loads from other owners",
         "rollout/engine_loads.py",
         (("MAX_ASKED_OWNERS = 3", "MAX_ASKED_OWNERS = 0"),),
     ),
@@ -135,7 +142,7 @@
         ),
     ),
     Mechanism(
-        "rest of replaced targets",
+        "pause for replaced targets",
         "targets/table.py",
         (("REPLACED_SECONDS = 4.0", "REPLACED_SECONDS = 0.0"),),
     ),
@@ -175,7 +182,7 @@
         (("MAX_SENDS = 2", "MAX_SENDS = 1"),),
     ),
     Mechanism(
-        "claims at once",
+        "immediate claims after a restart",
         "rollout/ownership.py",
         (
             (
@@ -185,7 +192,7 @@
         ),
     ),
     Mechanism(
-        "one Lot that asks for all",
+        "no more writes after a failed one",
         "rollout/result_writer.py",
         (
             (
@@ -223,23 +230,26 @@
 )
 
 
-def copy_of(checkout: Path, copy: Path) -> Path:
-    """Return `copy`, made anew with what the users' program builds of `checkout`."""
+def copy_checkout(checkout: Path, copy: Path) -> Path:
+    """Copy the paths in `BUILT_FROM` from `checkout` to `copy`, and return `copy`.
+
+    An existing copy is replaced.
+    """
     shutil.rmtree(copy, ignore_errors=True)
     copy.parent.mkdir(parents=True, exist_ok=True)
     for name in BUILT_FROM:
         part = checkout / name
         if part.is_dir():
-            shutil.copytree(part, copy / name, ignore=LEFT_OUT)
+            shutil.copytree(part, copy / name, ignore=IGNORED_FILES)
         else:
             shutil.copy(part, copy / name)
-    # Plays leave their entries in the journal of the checkout.
+    # The users' program writes the journal entries of plays to this folder.
     (copy / "journal").mkdir()
     return copy
 
 
 def copy_without(mechanism: Mechanism, checkout: Path, folder: Path) -> Path:
-    """Return a copy of `checkout` in which a mechanism is neutral."""
-    copy = copy_of(checkout, folder / mechanism.name.replace(" ", "-"))
-    mechanism.take_out(copy)
+    """Return a copy of `checkout`, in `folder`, with a mechanism disabled."""
+    copy = copy_checkout(checkout, folder / mechanism.name.replace(" ", "-"))
+    mechanism.apply(copy)
     return copy
--- a/benchmarks/rounds/pairs.py
+++ b/benchmarks/rounds/pairs.py
@@ -1,4 +1,4 @@
-"""What pairs of plays say: mean difference, its standard error, pairs won."""
+"""Comparison of pairs of plays: mean gain, its standard error, share of pairs won."""
 
 import math
 from collections import defaultdict
@@ -8,16 +8,23 @@
 
 from benchmarks.rounds.plays import Figures, Play
 
-LEAST_GAIN_ERRORS = 2.0
-"""Standard errors by which a mean gain must lie above zero to count as one."""
+MIN_GAIN_ERRORS = 2.0
+"""Number of standard errors by which a mean gain must exceed zero to count."""
 
-LEAST_SHOWN = 0.002
-"""Mean difference of a part from which it is shown."""
+MIN_SHOWN_DIFFERENCE = 0.002
+"""Smallest mean difference of a part of the worth that the table shows."""
 
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """The same day played by the code before and by the code that is tried."""
+    """Plays of the same day with the code before and after a change.
+
+    Attributes
+    ----------
+    what : Play
+        The day, site and seed of both plays.
+    before, after : Figures
+    """
 
     what: Play
     before: Figures
@@ -25,28 +32,30 @@
 
     @property
     def gain(self) -> float:
-        """What the change adds to the day's worth."""
+        """Difference in worth that the change makes."""
         return self.after.worth - self.before.worth
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Pairs of one day, of one site, or of all.
+    """The comparison of the pairs of one day, one site, or all sites.
 
     Attributes
     ----------
     name : str
+        Of the day or site.
     count : int
+        Number of pairs.
     before, after : float
         Mean worth.
     gain : float
         Mean difference.
     error : float
-        Its standard error; infinite for a single pair.
+        Standard error of the gain; infinite for a single pair.
     won : float
-        Share of pairs in which the change did better.
+        Share of the pairs in which the code after the change has the higher worth.
     broken_before, broken_after : int
-        Plays that broke a rule.
+        Number of plays that broke a rule.
     """
 
     name: str
@@ -61,16 +70,16 @@
 
     @property
     def verdict(self) -> str:
-        """Whether the difference is more than luck."""
-        if self.gain > LEAST_GAIN_ERRORS * self.error:
+        """Whether the difference is a significant gain or loss, or not significant."""
+        if self.gain > MIN_GAIN_ERRORS * self.error:
             return "gain"
-        if self.gain < -LEAST_GAIN_ERRORS * self.error:
+        if self.gain < -MIN_GAIN_ERRORS * self.error:
             return "loss"
         return "no difference shown"
 
 
 def compare(name: str, pairs: Sequence[Pair]) -> Comparison:
-    """Return what `pairs` say."""
+    """Return the comparison of `pairs`."""
     gains = [pair.gain for pair in pairs]
     error = stdev(gains) / math.sqrt(len(gains)) if len(gains) > 1 else math.inf
     return Comparison(
@@ -101,7 +110,13 @@
 
 
 def part_differences(pairs: Sequence[Pair]) -> list[tuple[str, float, float, float]]:
-    """Return name, mean before and after, and standard error, of parts that differ."""
+    """Return the parts of the worth that differ.
+
+    Returns
+    -------
+    list of tuple
+        Name, mean before, mean after, and standard error of the difference.
+    """
     names = {name for pair in pairs for name in (*pair.before.parts, *pair.after.parts)}
     rows = []
     for name in sorted(names):
@@ -109,22 +124,23 @@
         after = [pair.after.parts.get(name, 0.0) for pair in pairs]
         gains = [new - old for old, new in zip(before, after, strict=True)]
         error = stdev(gains) / math.sqrt(len(gains)) if len(gains) > 1 else math.inf
-        if abs(mean(gains)) >= LEAST_SHOWN:
+        if abs(mean(gains)) >= MIN_SHOWN_DIFFERENCE:
             rows.append((name, mean(before), mean(after), error))
     return rows
 
 
 def table(pairs: Sequence[Pair]) -> str:
-    """Return the figures as text."""
+    """Return the comparisons and the parts that differ as a text table."""
     lines = [
         f"{'':36}{'pairs':>6}{'before':>8}{'after':>8}{'gain':>8}{'error':>8}"
         f"{'won':>6}{'broken':>9}"
     ]
-    for one in by_day_and_site(pairs):
-        broken = f"{one.broken_before} -> {one.broken_after}"
+    for found in by_day_and_site(pairs):
+        broken = f"{found.broken_before} -> {found.broken_after}"
         lines.append(
-            f"{one.name:36}{one.count:6}{one.before:8.3f}{one.after:8.3f}"
-            f"{one.gain:+8.3f}{one.error:8.3f}{one.won:6.2f}{broken:>9}  {one.verdict}"
+            f"{found.name:36}{found.count:6}{found.before:8.3f}{found.after:8.3f}"
+            f"{found.gain:+8.3f}{found.error:8.3f}{found.won:6.2f}{broken:>9}"
+            f"  {found.verdict}"
         )
     lines.append("")
     for name, before, after, error in part_differences(pairs):
--- a/benchmarks/rounds/plays.py
+++ b/benchmarks/rounds/plays.py
@@ -1,4 +1,4 @@
-"""Plays days of a site with the code of a checkout, by the users' program."""
+"""Plays days of a site with the code of a checkout, using the users' program."""
 
 import json
 import subprocess
@@ -10,17 +10,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """One day that is to be played.
+    """One day to be played.
 
     Attributes
     ----------
     site : Path
         Site file.
     day : str
+        Name of a day of the site, or path of a file with a day.
     seed : int
-        Of the world's luck; 0 for the day's own.
+        Seed of the program's random numbers; 0 for the seed of the day.
     vary : bool
-        Times and figures of its troubles are varied by the seed.
+        Whether the seed also varies the times and numbers of the day's troubles.
     """
 
     site: Path
@@ -30,23 +31,24 @@
 
     @property
     def name(self) -> str:
-        """Site, day and seed."""
+        """Site, day and seed, for messages."""
         seed = f"#{self.seed}" if self.seed else ""
         return f"{self.site.stem}/{self.day}{seed}"
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What a play gave.
+    """The figures that a play yielded.
 
     Attributes
     ----------
     worth : float
+        The rating of the day by the users' program.
     parts : dict of str to float
-        Parts of the worth, the credit of each kind of request, the share that was not
-        served, and each price, by their names.
+        By name: the parts of the worth, the credit of each class of requests, the
+        share of requests that was not served, and each price.
     broken : tuple of str
-        Rules that were broken, and faults.
+        The rules that were broken, with their counts, and the fault of the play if any.
     """
 
     worth: float
@@ -56,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotPlayed:
-    """The program gave no report."""
+    """The program wrote no report; `reason` is the end of its output."""
 
     reason: str
 
@@ -65,8 +67,8 @@
     """Return the figures of a report as the users' program writes it."""
     parts = {name: float(value) for name, _, value in report["parts"]}
     parts["unserved"] = float(report["unserved"])
-    for one in report["classes"]:
-        parts[f"class {one['name']}"] = float(one["worth"])
+    for request_class in report["classes"]:
+        parts[f"class {request_class['name']}"] = float(request_class["worth"])
     for name, _, price in report["prices"]:
         parts[f"price {name}"] = float(price)
     broken = [f"{rule} {count}" for rule, count in report["breaks"].items()]
@@ -82,6 +84,12 @@
 
     Parameters
     ----------
+    bench : Path
+        The users' program.
+    checkout : Path
+    what : Play
+    why : str
+        Reason of the play, for the journal.
     flags : sequence of str
         More options of the users' program.
     """
--- a/benchmarks/rounds/results.py
+++ b/benchmarks/rounds/results.py
@@ -1,4 +1,4 @@
-"""A file of plays, a line each, that a run which was stopped goes on with."""
+"""A file of plays, one on each line, from which a stopped run can continue."""
 
 import json
 import threading
@@ -9,22 +9,22 @@
 from benchmarks.rounds.pairs import Pair
 from benchmarks.rounds.plays import Figures, Play
 
-WHOLE = ""
-"""Stands for the code with all its mechanisms."""
+ALL_MECHANISMS = ""
+"""The value of `Result.mechanism` for the unchanged code."""
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """One play.
+    """One play and its figures.
 
     Attributes
     ----------
     commit : str
-        Of the checkout from which the played code was copied.
+        Commit of the checkout from which the played code was copied.
     mechanism : str
-        That was taken out; `WHOLE` for none.
+        Name of the mechanism that was disabled; `ALL_MECHANISMS` for none.
     site, day : str
-        Names.
+        Names of the site and the day.
     seed : int
     figures : Figures
     """
@@ -38,12 +38,12 @@
 
 
 class Results:
-    """The plays of a file; safe to add to from several threads.
+    """The plays in a file. Several threads may add plays.
 
     Parameters
     ----------
     path : Path
-        Made at the first result.
+        Created with the first result.
     """
 
     def __init__(self, path: Path) -> None:
@@ -53,46 +53,46 @@
 
     @property
     def all(self) -> list[Result]:
-        """All plays, in the order in which they ended."""
+        """All plays, in the order in which they were added."""
         with self._lock:
             return list(self._all)
 
     def add(self, result: Result) -> None:
-        """Take a play, and write it to the file at once."""
+        """Add a play, and append it to the file at once."""
         with self._lock:
             self._all.append(result)
             with self._path.open("a") as file:
                 file.write(_line(result) + "\n")
 
     def find(self, mechanism: str, site: str, day: str, seed: int) -> Figures | None:
-        """Return the figures of a play that is there already."""
-        for one in self.all:
-            if (one.mechanism, one.site, one.day, one.seed) == (
+        """Return the figures of a play, or None if it was not played yet."""
+        for result in self.all:
+            if (result.mechanism, result.site, result.day, result.seed) == (
                 mechanism,
                 site,
                 day,
                 seed,
             ):
-                return one.figures
+                return result.figures
         return None
 
     def pairs(self, mechanism: str, site: str) -> list[Pair]:
-        """Return the plays of a site with the whole code beside those without."""
-        found = self.all
-        whole = {
-            (one.day, one.seed): one.figures
-            for one in found
-            if (one.mechanism, one.site) == (WHOLE, site)
+        """Return the pairs of plays with all mechanisms and without `mechanism`."""
+        results = self.all
+        unchanged = {
+            (result.day, result.seed): result.figures
+            for result in results
+            if (result.mechanism, result.site) == (ALL_MECHANISMS, site)
         }
         return [
             Pair(
-                Play(Path(f"{site}.toml"), one.day, one.seed),
-                whole[one.day, one.seed],
-                one.figures,
+                Play(Path(f"{site}.toml"), result.day, result.seed),
+                unchanged[result.day, result.seed],
+                result.figures,
             )
-            for one in found
-            if (one.mechanism, one.site) == (mechanism, site)
-            and (one.day, one.seed) in whole
+            for result in results
+            if (result.mechanism, result.site) == (mechanism, site)
+            and (result.day, result.seed) in unchanged
         ]
 
 
--- a/benchmarks/rounds/troubles.py
+++ b/benchmarks/rounds/troubles.py
@@ -1,7 +1,7 @@
-"""What each trouble of a day costs: ``python -m benchmarks.rounds.troubles --help``.
+"""Measures what each trouble costs: ``python -m benchmarks.rounds.troubles --help``.
 
-Every day is played as it is, without each of its troubles in turn, without the final
-fault, and with none. What a play gains is what the trouble took.
+Each day is played unchanged, without each of its troubles in turn, without the final
+fault, and without any trouble. The worth that a play gains is the cost of the trouble.
 """
 
 import argparse
@@ -17,14 +17,24 @@
 from benchmarks.days.__main__ import toml_value
 from benchmarks.rounds.plays import Figures, Play, play
 
-WHOLE = "(as it is)"
-NONE = "(no trouble at all)"
-CLOSING = "final fault"
+UNCHANGED = "(as it is)"
+NO_TROUBLES = "(no trouble at all)"
+FINAL_FAULT = "final fault"
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """A day without some of its troubles."""
+    """A day without some of its troubles.
+
+    Attributes
+    ----------
+    day : str
+        Name of the day.
+    without : str
+        The troubles that are left out, for the table.
+    text : str
+        The day as TOML.
+    """
 
     day: str
     without: str
@@ -32,25 +42,29 @@
 
 
 def write_day(day: dict) -> str:
-    """Return a day of a site file as a file of its own."""
+    """Return the text of a file with one day of a site file."""
     return "\n".join(f"{key} = {toml_value(value)}" for key, value in day.items())
 
 
 def variants(day: dict) -> Iterator[Variant]:
-    """Yield the day, without each trouble, without its end, and without any."""
+    """Yield the variants of a day.
+
+    They are the day itself, and the day without each of its troubles in turn, without
+    its final fault, and without any trouble.
+    """
     name = day["name"]
-    yield Variant(name, WHOLE, write_day(day))
+    yield Variant(name, UNCHANGED, write_day(day))
     for kind in ("plan", "faults"):
         for number, trouble in enumerate(day.get(kind, [])):
-            rest = [one for index, one in enumerate(day[kind]) if index != number]
+            rest = [other for index, other in enumerate(day[kind]) if index != number]
             label = f"{trouble['kind']} {trouble.get('how', '')}".strip()
             at = trouble.get("at", "")
             yield Variant(name, f"{label} at {at}", write_day(day | {kind: rest}))
     if "closing" in day:
         calm = {key: value for key, value in day.items() if key != "closing"}
-        yield Variant(name, CLOSING, write_day(calm))
+        yield Variant(name, FINAL_FAULT, write_day(calm))
         calm |= {"plan": [], "faults": []}
-        yield Variant(name, NONE, write_day(calm))
+        yield Variant(name, NO_TROUBLES, write_day(calm))
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -59,18 +73,20 @@
     parser.add_argument("--bench", type=Path, required=True, help="the users' program")
     parser.add_argument("--site", type=Path, required=True)
     parser.add_argument("--checkout", type=Path, required=True)
-    parser.add_argument("--day", action="append", default=[], help="names begin so")
-    parser.add_argument("--only", action="append", default=[], help="troubles begin so")
+    parser.add_argument("--day", action="append", default=[], help="prefix of the days")
+    parser.add_argument(
+        "--only", action="append", default=[], help="prefix of the troubles"
+    )
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--json", type=Path)
     arguments = parser.parse_args(argv)
     days = tomllib.loads(arguments.site.read_text())["day"]
     chosen = [
-        one
+        variant
         for day in days
         if not arguments.day or any(map(day["name"].startswith, arguments.day))
-        for one in variants(day)
-        if not arguments.only or any(map(one.without.startswith, arguments.only))
+        for variant in variants(day)
+        if not arguments.only or any(map(variant.without.startswith, arguments.only))
     ]
     with tempfile.TemporaryDirectory() as folder:
 
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -1,4 +1,4 @@
-"""What pairs of plays say, without playing any."""
+"""Comparison of plays, mechanisms and mutations, without playing any day."""
 
 import math
 from pathlib import Path
@@ -17,7 +17,7 @@
 )
 from benchmarks.rounds.pairs import Pair, compare, part_differences, table
 from benchmarks.rounds.plays import Figures, NotPlayed, Play, read_report
-from benchmarks.rounds.results import WHOLE, Result, Results
+from benchmarks.rounds.results import ALL_MECHANISMS, Result, Results
 
 SITE = Path("site.toml")
 ROOT = Path(__file__).parents[1]
@@ -40,7 +40,7 @@
     ]
 
 
-def test_a_report_gives_worth_parts_prices_and_broken_rules():
+def test_a_report_has_worth_parts_prices_and_broken_rules():
     figures = read_report(REPORT)
     assert (figures.worth, figures.broken) == (0.68, ("LOST 2",))
     assert figures.parts == {
@@ -62,7 +62,7 @@
         ([(0.5, 0.9)], 0.4, math.inf, 1.0, "no difference shown"),
     ],
 )
-def test_a_gain_is_over_two_standard_errors(worths, gain, error, won, verdict):
+def test_a_gain_exceeds_two_standard_errors(worths, gain, error, won, verdict):
     found = compare("d", pairs_of(*worths))
     assert found.gain == pytest.approx(gain)
     assert found.error == pytest.approx(error, rel=0.01)
@@ -80,7 +80,7 @@
     path = tmp_path / "s.toml"
     path.write_text('[[day]]\nname = "quiet-1"\n[[day]]\nname = "trouble-1"\n')
     found = chosen_plays([path], ["trouble"], 2, vary=True)
-    assert [(one.day, one.seed) for one in found] == [
+    assert [(play.day, play.seed) for play in found] == [
         ("trouble-1", FIRST_SEED),
         ("trouble-1", FIRST_SEED + 1),
     ]
@@ -88,23 +88,25 @@
     assert found[0].name == "s/trouble-1#7001"
 
 
-@pytest.mark.parametrize("mechanism", MECHANISMS, ids=lambda one: one.name)
+@pytest.mark.parametrize("mechanism", MECHANISMS, ids=lambda mechanism: mechanism.name)
 def test_each_mechanism_has_a_neutral_form_that_still_compiles(mechanism, tmp_path):
     copy = copy_without(mechanism, ROOT, tmp_path)
     changed = copy / PACKAGE / mechanism.file
     compile(changed.read_text(), str(changed), "exec")
 
 
-@pytest.mark.parametrize("mutation", MUTATIONS, ids=lambda one: one.change.name)
-def test_the_lines_of_each_mutation_stand_there_once(mutation):
+@pytest.mark.parametrize(
+    "mutation", MUTATIONS, ids=lambda mutation: mutation.change.name
+)
+def test_the_source_has_the_lines_of_each_mutation_once(mutation):
     text = (ROOT / PACKAGE / mutation.change.file).read_text()
     assert [text.count(old) for old, _ in mutation.change.changes] == [1] * len(
         mutation.change.changes
     )
 
 
-def test_a_copy_takes_only_what_is_built(tmp_path):
-    """Caches of tools change while a checkout is copied; here one is broken."""
+def test_a_copy_has_only_the_paths_that_are_built(tmp_path):
+    """Caches of tools may change during a copy; here a cache is a broken link."""
     checkout = copy_without(MECHANISMS[0], ROOT, tmp_path)
     (checkout / ".hypothesis").symlink_to("nowhere")
     copy = copy_without(MECHANISMS[1], checkout, tmp_path)
@@ -120,14 +122,14 @@
     return Result("abc", mechanism, site, "d", seed, Figures(worth, {"nines": worth}))
 
 
-def test_a_run_goes_on_with_what_its_file_holds(tmp_path):
+def test_a_run_continues_with_the_plays_in_its_file(tmp_path):
     path = tmp_path / "results.jsonl"
     first = Results(path)
-    first.add(result_of(WHOLE, "a", 1, 0.6))
+    first.add(result_of(ALL_MECHANISMS, "a", 1, 0.6))
     first.add(result_of("moves", "a", 1, 0.5))
-    again = Results(path)
-    assert again.all == first.all
-    (pair,) = again.pairs("moves", "a")
+    reopened = Results(path)
+    assert reopened.all == first.all
+    (pair,) = reopened.pairs("moves", "a")
     assert (pair.before.worth, pair.after.worth) == (0.6, 0.5)
     played = []
 
@@ -137,12 +139,12 @@
 
     for seed in (1, 2):
         task = Task("moves", Play(Path("a.toml"), "d", seed))
-        play_task(task, again, "abc", play_one)
-    assert played == [(WHOLE, 2), ("moves", 2)]
+        play_task(task, reopened, "abc", play_one)
+    assert played == [(ALL_MECHANISMS, 2), ("moves", 2)]
     assert len(Results(path).pairs("moves", "a")) == 2
 
 
-def test_a_day_that_was_not_played_leaves_no_line(tmp_path):
+def test_a_day_that_was_not_played_adds_no_result(tmp_path):
     results = Results(tmp_path / "results.jsonl")
     task = Task("moves", Play(Path("a.toml"), "d", 1))
     line = play_task(task, results, "abc", lambda *_: NotPlayed("too busy"))
@@ -153,11 +155,11 @@
 @pytest.mark.parametrize(
     ("known", "expected"),
     [
-        # Nothing is known: the first mechanism on the first site.
+        # Without any play, the first mechanism on the first site comes first.
         ([], ("moves", "a", 1)),
-        # One pair gives no standard error: the others come first.
+        # A mechanism without a pair precedes one with a single pair.
         ([("moves", "a", 1, 0.1)], ("feeds", "a", 1)),
-        # The error of the second is larger against its mean.
+        # The second mechanism has the larger error in relation to its mean.
         (
             [
                 ("moves", "a", 1, 0.1),
@@ -169,10 +171,10 @@
         ),
     ],
 )
-def test_what_is_least_known_is_played_next(known, expected, tmp_path):
+def test_the_most_uncertain_mechanism_is_played_next(known, expected, tmp_path):
     results = Results(tmp_path / "results.jsonl")
     for seed in (1, 2, 3):
-        results.add(result_of(WHOLE, "a", seed, 0.5))
+        results.add(result_of(ALL_MECHANISMS, "a", seed, 0.5))
     for mechanism, site, seed, worth in known:
         results.add(result_of(mechanism, site, seed, 0.5 - worth))
     plays = {"a": plays_of("a", 1, 2, 3)}
@@ -180,7 +182,7 @@
     assert (task.mechanism, task.what.site.stem, task.what.seed) == expected
 
 
-def test_no_pair_is_played_twice_or_beyond_the_bound(tmp_path):
+def test_no_pair_is_played_twice_or_beyond_the_maximum(tmp_path):
     results = Results(tmp_path / "results.jsonl")
     plays = {"a": plays_of("a", 1, 2, 3), "b": plays_of("b", 1)}
     planner = Planner(results, ["moves", "feeds"], plays, 2)
@@ -190,9 +192,9 @@
     assert len(set(tasks)) == len(tasks) == planner.total == 6
 
 
-def test_the_table_shows_what_is_known_at_any_moment(tmp_path):
+def test_the_table_shows_the_plays_so_far(tmp_path):
     results = Results(tmp_path / "results.jsonl")
-    results.add(result_of(WHOLE, "a", 1, 0.6))
+    results.add(result_of(ALL_MECHANISMS, "a", 1, 0.6))
     assert "moves" not in ablation_table(results)
     results.add(result_of("moves", "a", 1, 0.5))
     assert "moves" in ablation_table(results)
