--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -75,7 +75,7 @@
         "pace of engines", SCHEDULING, (("(view.latency or typical) *", "typical *"),)
     ),
     Mechanism(
-        "engine loads from other owners",
+        "runs and paces told",
         "rollout/engine_loads.py",
         (("MAX_ASKED_OWNERS = 3", "MAX_ASKED_OWNERS = 0"),),
     ),
@@ -142,7 +142,7 @@
         ),
     ),
     Mechanism(
-        "pause for replaced targets",
+        "rest of replaced targets",
         "targets/table.py",
         (("REPLACED_SECONDS = 4.0", "REPLACED_SECONDS = 0.0"),),
     ),
@@ -182,7 +182,7 @@
         (("MAX_SENDS = 2", "MAX_SENDS = 1"),),
     ),
     Mechanism(
-        "immediate claims after a restart",
+        "claims at once",
         "rollout/ownership.py",
         (
             (
@@ -192,7 +192,7 @@
         ),
     ),
     Mechanism(
-        "no more writes after a failed one",
+        "one Lot that asks for all",
         "rollout/result_writer.py",
         (
             (
