--- a/src/wigeonfront/accounts/directory.py
+++ b/src/wigeonfront/accounts/directory.py
@@ -110,17 +110,15 @@
 
 def _invalid_name_reason(name: str, names: set[str]) -> str:
     if not NAME_PATTERN.fullmatch(name) or len(name) > MAX_NAME_LENGTH:
-        return (
-            f"account name {name[:MAX_NAME_LENGTH]!r} is empty, too long or malformed"
-        )
-    return f"account {name} is defined twice" if name in names else ""
+        return f"account name {name[:MAX_NAME_LENGTH]!r} is empty, too long or unfit"
+    return f"account {name} stands twice" if name in names else ""
 
 
 def _invalid_key_reason(
     account: ClientAccount, key: str, known: Mapping[bytes, ClientAccount]
 ) -> str:
     if not KEY_PATTERN.fullmatch(key) or len(key) > MAX_KEY_LENGTH:
-        return f"account {account.name} has a key that is empty, too long or malformed"
+        return f"account {account.name} has a key that is empty, too long or unfit"
     other = known.get(_digest(key))
     if other is None:
         return ""
--- a/src/wigeonfront/api/lots.py
+++ b/src/wigeonfront/api/lots.py
@@ -145,7 +145,7 @@
     ) -> Lot:
         names = {sample.sample for sample in body.samples}
         if len(names) != len(body.samples):
-            raise ApiError(422, "bad_field", "two samples have the same name")
+            raise ApiError(422, "bad_field", "a sample's name stands twice")
         samples = tuple(
             self._make_sample(id, sample, body.model, route, configuration)
             for sample in body.samples
--- a/src/wigeonfront/api/operations.py
+++ b/src/wigeonfront/api/operations.py
@@ -175,13 +175,11 @@
         if isinstance(outcome, Stored):
             call.reply_json(200, CatalogueStored(version, outcome.revision))
         elif isinstance(outcome, Mismatch):
-            raise ApiError(409, "conflict", "another change was stored first")
+            raise ApiError(409, "conflict", "somebody else has changed it")
         elif isinstance(outcome, Unavailable):
             raise ApiError(503, "not_written", outcome.reason, RETRY_SECONDS)
         else:
-            raise ApiError(
-                504, "unknown", "the change may or may not be stored", RETRY_SECONDS
-            )
+            raise ApiError(504, "unknown", "it may have been written", RETRY_SECONDS)
 
     def _restore_keys(self, value: bytes) -> bytes:
         """Return a document in which API keys replace the fingerprints.
--- a/src/wigeonfront/api/requests.py
+++ b/src/wigeonfront/api/requests.py
@@ -146,9 +146,7 @@
 def _idempotency_key(call: RawCall) -> str:
     key = call.header(IDEMPOTENCY_HEADER)
     if len(key) > MAX_KEY_LENGTH:
-        raise ApiError(
-            400, "bad_key", f"the key is longer than {MAX_KEY_LENGTH} characters"
-        )
+        raise ApiError(400, "bad_key", f"at most {MAX_KEY_LENGTH} characters")
     return quote(key, safe="")
 
 
--- a/src/wigeonfront/forwarding/idempotency.py
+++ b/src/wigeonfront/forwarding/idempotency.py
@@ -197,9 +197,9 @@
             elif missing_since is None:
                 missing_since = now
             elif now - missing_since >= OWNER_MISSING_SECONDS:
-                return Fail(CONFLICT, "the process that sent the request is gone")
+                return Fail(CONFLICT, "the process that ran it is gone")
             if now + POLL_SECONDS >= deadline:
-                return Fail(CONFLICT, "the request may still be running")
+                return Fail(CONFLICT, "it may still run")
             self._clock.sleep(POLL_SECONDS)
 
     def _record_outcome(self, row_key: str, claimed: _Claimed, ended: Ended) -> None:
@@ -255,5 +255,5 @@
 
 def _recorded_answer(record: _Record) -> Ended:
     if not record.whole:
-        return Fail(CONFLICT, "the request has run; its answer was too large to record")
+        return Fail(CONFLICT, "it has run; its answer was too large to remember")
     return ReturnAnswer(Answered(record.status, record.headers, record.body))
--- a/src/wigeonfront/rollout/runner.py
+++ b/src/wigeonfront/rollout/runner.py
@@ -316,7 +316,7 @@
                 until = doubt_deadline if doubtful else deadline
                 remaining = until - self._clock.monotonic()
                 if remaining <= 0 and doubtful:
-                    return ResultsInDoubt("results that may be read are in doubt")
+                    return ResultsInDoubt("results that may be read are not kept")
                 if len(shown) > after or after >= total or remaining <= 0:
                     whole = len(shown) <= len(progress.kept)
                     return OwnedResults(total, shown[after:], whole)
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(
     ("accounts", "reason"),
     [
-        ([(STUDIO, ["k1"]), (STUDIO, ["k2"])], "account studio is defined twice"),
+        ([(STUDIO, ["k1"]), (STUDIO, ["k2"])], "account studio stands twice"),
         ([(STUDIO, ["k1"]), (OTHER, ["k1"])], "accounts studio and other share"),
         ([(STUDIO, ["k1", "k1"])], "account studio has the key"),
         ([(STUDIO, [""])], "account studio has a key that is empty"),
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -184,7 +184,7 @@
     ("accounts", "message"),
     [
         ({"studio": ["key-s1"], "other": ["key-s1"]}, "share the key"),
-        ({"studio": [""]}, "empty, too long or malformed"),
+        ({"studio": [""]}, "empty, too long or unfit"),
         ({"": ["key-s1"]}, "account name"),
         ({"studio": ["fingerprint:00000000"]}, "no key has the fingerprint:00000000"),
     ],
