--- a/examples/platform_standins/duties.py
+++ b/examples/platform_standins/duties.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from wigeonfront.http.raw import RawCall
 from wigeonfront.platform import headers as names
 
@@ -67,7 +67,7 @@
             )
 
 
-class DutyServer(Served):
+class DutyServer(StandInServer):
     """The interface at `address`.
 
     Parameters
--- a/examples/platform_standins/engine.py
+++ b/examples/platform_standins/engine.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from wigeonfront.http.raw import RawCall
 from wigeonfront.platform import headers as names
 
@@ -65,7 +65,7 @@
     mode: str = "retain"
 
 
-class Engine(Served):
+class Engine(StandInServer):
     """One engine.
 
     Parameters
@@ -219,7 +219,7 @@
                 return
 
 
-class PlainService(Served):
+class PlainService(StandInServer):
     """A plain service that answers with its request's body.
 
     Parameters
--- a/examples/platform_standins/served.py
+++ b/examples/platform_standins/server.py
@@ -5,7 +5,7 @@
 from wigeonfront.http.raw import RawHandler, RawServer
 
 
-class Served:
+class StandInServer:
     """A stand-in that serves calls from a thread of its own.
 
     Parameters
--- a/examples/platform_standins/store.py
+++ b/examples/platform_standins/store.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from platform_standins.rows import MemoryRows
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from wigeonfront.coordination.rows import (
     Absent,
     Change,
@@ -46,7 +46,7 @@
     ttl_ms: int
 
 
-class StoreServer(Served):
+class StoreServer(StandInServer):
     """The store at `address`.
 
     Parameters
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 from platform_standins import deployment
 from platform_standins.deployment import MODEL
 from platform_standins.ports import free_port
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from rows_fakes import free_address, wait_for
 from wigeonfront import cli
 from wigeonfront.commands import exit_codes
@@ -343,7 +343,7 @@
 def test_a_read_goes_to_the_next_entry_and_a_change_that_may_be_done_does_not(
     run, offline
 ):
-    silent = Served(free_address(), lambda call: call.abort(), threads=2)
+    silent = StandInServer(free_address(), lambda call: call.abort(), threads=2)
     silent.start()
     entries = [silent.address, run.entries[0]]
     assert offline("status", entries=entries) == exit_codes.OK
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from rows_fakes import free_address
 from wigeonfront import client
 from wigeonfront.clock import ManualClock
@@ -35,7 +35,7 @@
     def __init__(self, *answers):
         self.answers = list(answers)
         self.calls = []
-        self.server = Served(free_address(), self._answer, threads=4)
+        self.server = StandInServer(free_address(), self._answer, threads=4)
         self.server.start()
 
     @property
--- a/tests/test_engine_loads.py
+++ b/tests/test_engine_loads.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from rows_fakes import free_address
 from wigeonfront.clock import ManualClock
 from wigeonfront.rollout.engine_loads import LoadFollower, LoadServer
@@ -28,7 +28,7 @@
             for id in ENGINES
         )
         self.address = free_address()
-        self.server = Served(self.address, LoadServer(self.table).answer, 4)
+        self.server = StandInServer(self.address, LoadServer(self.table).answer, 4)
         self.server.start()
         self.sent = dict.fromkeys(ENGINES, 0)
 
--- a/tests/test_http_raw.py
+++ b/tests/test_http_raw.py
@@ -3,14 +3,14 @@
 
 import pytest
 
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from rows_fakes import free_address
 from wigeonfront.http import raw
 from wigeonfront.http.client import Answer, Lost, Pool
 
 
 def serve(handler):
-    server = Served(free_address(), handler, threads=4)
+    server = StandInServer(free_address(), handler, threads=4)
     server.start()
     return server
 
--- a/tests/test_json_client.py
+++ b/tests/test_json_client.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from rows_fakes import free_address
 from wigeonfront.coordination.rows import Unavailable
 from wigeonfront.platform.json_client import (
@@ -23,7 +23,7 @@
     def __init__(self, *steps):
         self.steps = list(steps)
         self.bodies = []
-        self.served = Served(free_address(), self._answer, threads=4)
+        self.served = StandInServer(free_address(), self._answer, threads=4)
         self.served.start()
 
     def _answer(self, call):
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from rows_fakes import free_address, make_store, wait_for
 from wigeonfront.clock import SystemClock
 from wigeonfront.coordination.feed import (
@@ -148,7 +148,7 @@
     clock = SkippingClock()
     mirror = Mirror(DirectRows(store), PREFIX, clock, wait=0.01)
     feed = FeedServer(lambda: {PREFIX: mirror})
-    server = Served(free_address(), feed.answer, 10)
+    server = StandInServer(free_address(), feed.answer, 10)
     server.start()
     yield store, mirror, server.address, clock
     server.stop()
@@ -279,7 +279,7 @@
         feed.answer(call)
 
     servers = [
-        Served(free_address(), handler, threads=4)
+        StandInServer(free_address(), handler, threads=4)
         for handler in (answer_nothing, answer)
     ]
     for server in servers:
--- a/tests/test_store_relay.py
+++ b/tests/test_store_relay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from platform_standins.store import StoreServer
 from rows_fakes import free_address, make_store, wait_for
 from wigeonfront.clock import ManualClock, SystemClock
@@ -40,7 +40,7 @@
 
 
 def serve(answer):
-    server = Served(free_address(), answer, 10)
+    server = StandInServer(free_address(), answer, 10)
     server.start()
     return server.address, server
 
