--- a/benchmarks/soak/cluster.py
+++ b/benchmarks/soak/cluster.py
@@ -316,7 +316,7 @@
             engine.faults.event_seconds = 0.03
         for scorer in self.scorers:
             scorer.refuse = scorer.cut = False
-            scorer.pause, scorer.status = 0.0, 200
+            scorer.run_seconds, scorer.status = 0.0, 200
         for target, service in self._targets():
             self._register(target, service)
         for entry in self.entries:
@@ -490,7 +490,9 @@
         scorer.cut = not scorer.cut
 
     def _scorer_slow(self, entry: EntryProcess) -> None:
-        self.random.choice(self.scorers).pause = self.random.choice((0.0, 0.2, 2.0))
+        self.random.choice(self.scorers).run_seconds = self.random.choice(
+            (0.0, 0.2, 2.0)
+        )
 
     def _scorer_fails(self, entry: EntryProcess) -> None:
         scorer = self.random.choice(self.scorers)
--- a/benchmarks/soak/trainer.py
+++ b/benchmarks/soak/trainer.py
@@ -202,7 +202,7 @@
             if sum(scorer.failed[call] for scorer in scorers) < FAILURES:
                 self._violate(lot, f"{result.id} given up too soon")
             return False
-        marks = [mark for scorer in scorers for mark in scorer.marks.get(call, ())]
+        marks = [mark for scorer in scorers for mark in scorer.seals.get(call, ())]
         if result.score not in marks:
             self._violate(lot, f"{result.id} has score {result.score!r} of {marks}")
         ends = [one.ended_at.get(result.id) for one in self._cluster.engines]
@@ -214,7 +214,9 @@
     def _made(self, sample: str, number: int) -> set[int]:
         """Return the versions under which engines made an event of a sample."""
         engines = self._cluster.engines
-        return set().union(*(one.made.get((sample, number), ()) for one in engines))
+        return set().union(
+            *(one.event_versions.get((sample, number), ()) for one in engines)
+        )
 
     def _read_everywhere(self, lot: SentLot) -> None:
         for entry in self._cluster.entries:
@@ -240,7 +242,7 @@
 
     def _check_never_ran(self, lot: SentLot) -> None:
         for engine in self._cluster.engines:
-            if any(id.startswith(f"{lot.id}-") for id in engine.ran):
+            if any(id.startswith(f"{lot.id}-") for id in engine.run_counts):
                 self._violate(lot, "ran though every answer refused it")
 
     def _call(self, method, path, body=None, headers=None, front=""):
--- a/examples/platform_standins/engine.py
+++ b/examples/platform_standins/engine.py
@@ -97,9 +97,9 @@
         self.versions = dict(versions)
         self.events = events
         self.faults = EngineFaults()
-        self.ran: Counter[str] = Counter()
+        self.run_counts: Counter[str] = Counter()
         # Versions under which it made each event of each sample.
-        self.made: dict[tuple[str, int], set[int]] = {}
+        self.event_versions: dict[tuple[str, int], set[int]] = {}
         # Event behind which each sample's last run began.
         self.began_after: dict[str, int] = {}
         # Monotonic time at which each sample's last event was first made.
@@ -181,7 +181,7 @@
             call.reply(503, headers=((names.NOT_EXECUTED, "1"),))
             return
         with self._lock:
-            self.ran[id] += 1
+            self.run_counts[id] += 1
         self.headers[id] = lower_headers(call)
         status = self.faults.statuses.get(id)
         seal = ((names.ATTEMPT_ID, id), (names.SEAL, "s"))
@@ -205,7 +205,7 @@
         self.began_after[id] = after
         for number in range(after + 1, self.events + 1):
             time.sleep(self.faults.event_seconds)
-            self.made.setdefault((id, number), set()).add(version)
+            self.event_versions.setdefault((id, number), set()).add(version)
             if number == self.events:
                 self.ended_at.setdefault(id, time.monotonic())
             call.write(f"id: {number}\ndata: {self.data(id, number)}\n\n".encode())
@@ -234,7 +234,7 @@
         Monotonic times at which requests began to run, by id.
     failed : Counter of str
         Answers of 500, by the request's id.
-    refusal_pause : float
+    refusal_seconds : float
         Seconds before a refusal.
     statuses : dict of str to int
         Status that a request gets, by its id.
@@ -246,11 +246,11 @@
         self.id = id
         self.status = 200
         self.refuse = False
-        self.refusal_pause = 0.0
+        self.refusal_seconds = 0.0
         self.cut = False
-        self.pause = 0.0
-        self.seen: list[tuple[str, str, bytes]] = []
-        self.marks: dict[str, list[str]] = {}
+        self.run_seconds = 0.0
+        self.requests: list[tuple[str, str, bytes]] = []
+        self.seals: dict[str, list[str]] = {}
         self.arrived: dict[str, list[float]] = {}
         self.failed: Counter[str] = Counter()
         self.statuses: dict[str, int] = {}
@@ -265,19 +265,19 @@
             call.reply(421, headers=((names.NOT_EXECUTED, "1"),))
             return
         if self.refuse:
-            time.sleep(self.refusal_pause)
+            time.sleep(self.refusal_seconds)
             call.reply(503, headers=((names.NOT_EXECUTED, "1"),))
             return
         self.headers[id] = lower_headers(call)
-        self.seen.append((call.method, call.target, body))
+        self.requests.append((call.method, call.target, body))
         self.arrived.setdefault(id, []).append(time.monotonic())
-        time.sleep(self.pause)
+        time.sleep(self.run_seconds)
         if self.cut:
             call.abort()
             return
         status = self.statuses.get(id, self.status)
         mark = f"{self.id}.{next(self._numbers)}"
         if status == 200:
-            self.marks.setdefault(id, []).append(mark)
+            self.seals.setdefault(id, []).append(mark)
         self.failed[id] += status == 500
         call.reply(status, body, ((names.ATTEMPT_ID, id), (names.SEAL, mark)))
--- a/examples/quickstart/load.py
+++ b/examples/quickstart/load.py
@@ -130,7 +130,7 @@
         given = {
             mark
             for service in self._cluster.plain
-            for marks in list(service.marks.values())
+            for marks in list(service.seals.values())
             for mark in marks
         }
         for outcome in answer.outcomes.values():
@@ -214,7 +214,7 @@
         ran = Counter(
             body
             for service in self._cluster.plain
-            for _, target, body in list(service.seen)
+            for _, target, body in list(service.requests)
             if target.endswith(f"/{self._part.path}")
         )
         return sum(count - 1 for count in ran.values())
--- a/tests/test_account_calls.py
+++ b/tests/test_account_calls.py
@@ -67,7 +67,7 @@
     assert answer.status == status
     challenge = answer.headers.get("WWW-Authenticate")
     assert challenge == ("Bearer" if status == 401 else None)
-    assert len(deployed.plain.seen) == (status == 200)
+    assert len(deployed.plain.requests) == (status == 200)
 
 
 def test_targets_get_the_account_but_never_the_key(deployed):
@@ -263,7 +263,7 @@
             response += chunk
     assert response.count(b"HTTP/1.1 ") == 1
     assert response.startswith(b"HTTP/1.1 401")
-    assert not deployed.plain.seen
+    assert not deployed.plain.requests
 
 
 def test_repeated_authorization_header_is_malformed(deployed):
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -89,7 +89,7 @@
         status, error = api.call("POST", "/v1/lots", LOT)
         assert (status, error["error"]) == (410, "already_delivered")
     assert len(first.results()) == 6
-    assert sum(sum(engine.ran.values()) for engine in deployed.engines) == 6
+    assert sum(sum(engine.run_counts.values()) for engine in deployed.engines) == 6
 
 
 def test_entry_without_knowledge_of_a_delivered_lot_refuses_to_run_it_again(apis):
@@ -111,9 +111,9 @@
     ]
     assert api.call("POST", "/v1/lots", LOT | {"samples": samples})[0] == 202
     results = api.results()
-    expected = {mark for marks in deployed.plain.marks.values() for mark in marks}
+    expected = {mark for marks in deployed.plain.seals.values() for mark in marks}
     assert {result["score"] for result in results} == expected
-    bodies = {body for _, _, body in deployed.plain.seen}
+    bodies = {body for _, _, body in deployed.plain.requests}
     assert json.dumps(samples[0]["payload"]).encode().replace(b" ", b"") in b"".join(
         bodies
     )
@@ -182,7 +182,7 @@
     assert status == 200
     assert reply["request"] == "r1"
     assert reply["outcome"] == {"kind": "completed", "payload": {"x": 1}}
-    ((method, target, _),) = deployed.plain.seen
+    ((method, target, _),) = deployed.plain.requests
     assert (method, target) == ("POST", "/plain/a%20b")
 
 
@@ -207,14 +207,14 @@
     """The request must not be abandoned at half of its time and reported as unknown."""
     api = apis("n1")
     deployed.plain.refuse = True
-    deployed.plain.refusal_pause = 0.9
+    deployed.plain.refusal_seconds = 0.9
     status, reply = api.call("POST", "/v1/requests", REQUEST)
     assert (status, reply["outcome"]["kind"]) == (503, "not_run")
 
 
 def test_request_with_a_key_runs_once_when_repeated_at_any_entry(deployed, apis):
     first, second = apis("n1"), apis("n2")
-    deployed.plain.pause = 0.3
+    deployed.plain.run_seconds = 0.3
     booking = REQUEST | {"route": "booking"}
     answers = []
 
@@ -230,9 +230,9 @@
     assert [status for status, _ in answers] == [200] * 3
     outcomes = [reply["outcome"] for _, reply in answers]
     assert outcomes[0] == outcomes[1] == outcomes[2]
-    assert len(deployed.plain.seen) == 1
+    assert len(deployed.plain.requests) == 1
     first.call("POST", "/v1/requests", booking, Idempotency_Key="k 2")
-    assert len(deployed.plain.seen) == 2
+    assert len(deployed.plain.requests) == 2
 
 
 def test_stream_is_forwarded_whole(apis):
@@ -396,4 +396,4 @@
             "POST", "/v1/requests", booking, Idempotency_Key="k1", **headers
         )
         assert status == 200
-    assert len(deployed.plain.seen) == 2
+    assert len(deployed.plain.requests) == 2
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -110,7 +110,7 @@
     second = deployed.add_entry("n2")
     assert [submit(one, "l1").status for one in (first, first, second)] == [202] * 3
     read_all(first, "l1")
-    ran = deployed.engines[0].ran + deployed.engines[1].ran
+    ran = deployed.engines[0].run_counts + deployed.engines[1].run_counts
     assert set(ran.values()) == {1}
 
 
@@ -142,7 +142,7 @@
         engine.faults.hang = False
     for entry, lot in zip(entries, lots, strict=True):
         check(deployed, read_all(entry, lot))
-    ran = sum((engine.ran for engine in deployed.engines), Counter())
+    ran = sum((engine.run_counts for engine in deployed.engines), Counter())
     assert set(ran.values()) == {1}
     assert len(ran) == SAMPLES * len(lots)
 
@@ -230,7 +230,7 @@
     assert (answer.status, answer.retry_after > 0) == (503, True)
     deployed.rows.faults.down = False
     time.sleep(0.5)
-    assert not deployed.engines[0].ran
+    assert not deployed.engines[0].run_counts
     assert read(entry, "l1")[0] == 404
 
 
@@ -265,7 +265,7 @@
     # As many as the quick engine has places for.
     submit(second, "l2", samples=4)
     read_all(second, "l2", 4)
-    assert sum(id.startswith("l2") for id in slow.ran) == 0
+    assert sum(id.startswith("l2") for id in slow.run_counts) == 0
 
 
 def test_an_ended_lot_runs_nothing_more(deployed):
@@ -278,9 +278,9 @@
     assert call(second, "DELETE", "/lots/l1").status == 200
     assert call(first, "DELETE", "/lots/l1").status == 200
     wait_for(lambda: all(not engine.running for engine in deployed.engines))
-    before = sum(engine.ran.total() for engine in deployed.engines)
+    before = sum(engine.run_counts.total() for engine in deployed.engines)
     time.sleep(0.6)
-    assert sum(engine.ran.total() for engine in deployed.engines) == before
+    assert sum(engine.run_counts.total() for engine in deployed.engines) == before
 
 
 def test_a_broken_run_goes_on_from_its_last_event(deployed):
@@ -300,10 +300,10 @@
     assert read_all(second, "l1") == page
     for result in page["results"]:
         call = f"c-{result['id']}"
-        assert deployed.plain.marks[call] == [result["score"]]
+        assert deployed.plain.seals[call] == [result["score"]]
         assert deployed.plain.arrived[call][0] >= deployed.ended_at(result["id"])
         sent = ("POST", f"/plain/score%2F{result['id']}?q=1", b"score this")
-        assert sent in deployed.plain.seen
+        assert sent in deployed.plain.requests
 
 
 def test_a_sample_whose_reward_call_always_fails_is_given_up(deployed):
@@ -328,23 +328,23 @@
     deployed.plain.refuse = False
     page = read_all(second, "l1")
     check(deployed, page)
-    ran = deployed.engines[0].ran + deployed.engines[1].ran
+    ran = deployed.engines[0].run_counts + deployed.engines[1].run_counts
     assert set(ran.values()) == {1}
     marks = {one["score"] for one in page["results"]}
-    assert marks == {mark for marks in deployed.plain.marks.values() for mark in marks}
+    assert marks == {mark for marks in deployed.plain.seals.values() for mark in marks}
 
 
 def test_an_ended_lot_calls_no_scoring_service_afterwards(deployed):
     first, second = deployed.add_entry("n1"), deployed.add_entry("n2")
-    deployed.plain.pause = 0.4
+    deployed.plain.run_seconds = 0.4
     submit(first, "l1", samples=12, scored=True)
     wait_for(lambda: deployed.plain.arrived)
     assert call(second, "DELETE", "/lots/l1").status == 200
     assert call(first, "DELETE", "/lots/l1").status == 200
     time.sleep(0.2)
-    before = len(deployed.plain.seen)
+    before = len(deployed.plain.requests)
     time.sleep(0.8)
-    assert len(deployed.plain.seen) == before
+    assert len(deployed.plain.requests) == before
 
 
 @pytest.mark.parametrize(
@@ -370,7 +370,7 @@
     answer = call(entry, "POST", "/lots-in/x", body, Wigeonfront_Attempt_Id="l1")
     assert answer.status == 400
     assert read(entry, "l1")[0] == 404
-    assert not deployed.engines[0].ran and not deployed.engines[1].ran
+    assert not deployed.engines[0].run_counts and not deployed.engines[1].run_counts
 
 
 def test_runs_go_on_elsewhere_as_soon_as_an_engine_has_started_again(
@@ -392,8 +392,10 @@
     deployment.register(
         deployed.rows, silent.id, ENGINES, silent.address, born=2_000_000
     )
-    first = [id for id in silent.ran if id not in other.ran]
-    wait_for(lambda: all((silent.ran + other.ran)[id] >= 2 for id in first))
+    first = [id for id in silent.run_counts if id not in other.run_counts]
+    wait_for(
+        lambda: all((silent.run_counts + other.run_counts)[id] >= 2 for id in first)
+    )
     assert time.monotonic() - began < 1.5
     for engine in (silent, other):
         engine.release.set()
@@ -428,7 +430,7 @@
     states = {one["id"]: one["state"] for one in page["results"]}
     assert states.pop("l1-2") == "terminated"
     assert set(states.values()) == {"completed"}
-    runs = sum(engine.ran["l1-2"] for engine in deployed.engines)
+    runs = sum(engine.run_counts["l1-2"] for engine in deployed.engines)
     assert runs == (1 if status == 422 else 3)
 
 
@@ -513,7 +515,7 @@
     deployed.rows.faults.down = False
     stopping.join(8.0)
     check(deployed, read_all(second, "l1"))
-    ran = deployed.engines[0].ran + deployed.engines[1].ran
+    ran = deployed.engines[0].run_counts + deployed.engines[1].run_counts
     assert set(ran.values()) == {1}
 
 
@@ -570,7 +572,7 @@
     sent = {"Wigeonfront_Attempt_Id": "a1", "Wigeonfront_Deadline_Ms": "1000"}
     answer = call(entry, "POST", "/plain/x%20y?q=1", b"in", **sent)
     assert (answer.status, answer.body) == (200, b"in")
-    assert deployed.plain.seen == [("POST", "/plain/x%20y?q=1", b"in")]
+    assert deployed.plain.requests == [("POST", "/plain/x%20y?q=1", b"in")]
     assert call(entry, "GET", "/nowhere/").status == 404
     assert call(entry, "POST", "/plain/x", b"x" * 100_001, **sent).status == 413
 
@@ -594,9 +596,9 @@
         return answer.status == 503
 
     wait_for(refused, 2.0)
-    seen = len(plain.seen)
+    seen = len(plain.requests)
     call(entry, "POST", "/plain/x", b"in", Wigeonfront_Attempt_Id="b")
-    assert len(plain.seen) == seen
+    assert len(plain.requests) == seen
 
 
 def test_a_stream_is_resumed_within_one_answer(deployed):
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -285,7 +285,7 @@
     ended = forward(services)
     assert isinstance(ended, ReturnAnswer)
     assert ended.answer.body == b"in"
-    assert services[0].seen == [("POST", "/a%2Fb?q=%20", b"in")]
+    assert services[0].requests == [("POST", "/a%2Fb?q=%20", b"in")]
 
 
 @pytest.mark.parametrize("repeatable", [True, False])
@@ -311,7 +311,7 @@
     ended = forward(services, repeatable)
     assert isinstance(ended, Fail)
     assert ended.status == 502
-    assert len(services[0].seen) + len(services[1].seen) == runs
+    assert len(services[0].requests) + len(services[1].requests) == runs
 
 
 def test_a_server_error_is_retried_and_returned_if_all_targets_fail(services):
@@ -322,7 +322,7 @@
 
 
 def test_forwarding_ends_with_504_at_the_deadline(services):
-    services[0].pause = services[1].pause = 2.0
+    services[0].run_seconds = services[1].run_seconds = 2.0
     started = time.monotonic()
     ended = forward(services, seconds=0.3)
     assert (ended.status, time.monotonic() - started < 0.6) == (504, True)
@@ -330,14 +330,14 @@
 
 @pytest.mark.parametrize(("repeatable", "status"), [(True, 200), (False, 504)])
 def test_a_silent_target_leaves_time_for_a_retry(services, repeatable, status):
-    services[0].pause = 2.0
+    services[0].run_seconds = 2.0
     ended = forward(services, repeatable, seconds=1.0)
     found = ended.answer.status if isinstance(ended, ReturnAnswer) else ended.status
     assert found == status
 
 
 def test_the_only_target_gets_all_of_the_time(services):
-    services[0].pause = 0.7
+    services[0].run_seconds = 0.7
     ended = forward_with(make_service_forwarder(services[:1]), seconds=1.0)
     assert isinstance(ended, ReturnAnswer)
     assert ended.answer.status == 200
--- a/tests/test_reward_call.py
+++ b/tests/test_reward_call.py
@@ -107,8 +107,8 @@
         caller, table, registry = make_caller(service.address)
         outcome = send(caller, table)
         assert isinstance(outcome, Scored)
-        assert service.seen == [("POST", "/score/a%2Fb?q=1", b"in")]
-        assert service.marks["c1"] == [outcome.score]
+        assert service.requests == [("POST", "/score/a%2Fb?q=1", b"in")]
+        assert service.seals["c1"] == [outcome.score]
     finally:
         service.stop()
     assert "sends_total" in registry.render_text()
@@ -141,7 +141,7 @@
         caller, table, _ = make_caller(service.address)
         handle = CallHandle()
         send(caller, table, handle=handle)
-        service.pause = 0.2
+        service.run_seconds = 0.2
         threading.Timer(0.1, handle.cancel).start()
         other = RewardCall("c2", "h.example", "/score/b", b"")
         assert isinstance(send(caller, table, 1.0, call=other), Scored)
--- a/tests/test_spooling.py
+++ b/tests/test_spooling.py
@@ -127,7 +127,7 @@
         deployed.add_disk(f"s{lost}", tmp_path / str(lost), host, int(port))
     deployed.rows.faults.down = False
     assert read_all(second, "l1") == page
-    ran = deployed.engines[0].ran + deployed.engines[1].ran
+    ran = deployed.engines[0].run_counts + deployed.engines[1].run_counts
     assert set(ran.values()) == {1}
 
 
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -53,8 +53,8 @@
 
 def ran(deployed):
     return sum(
-        (engine.ran for engine in deployed.engines),
-        start=type(deployed.engines[0].ran)(),
+        (engine.run_counts for engine in deployed.engines),
+        start=type(deployed.engines[0].run_counts)(),
     )
 
 
