--- a/benchmarks/soak/cluster.py
+++ b/benchmarks/soak/cluster.py
@@ -212,7 +212,7 @@
             lambda id: self.rows.remove(f"servers/{id}"),
             RESTART_SECONDS,
         )
-        crasher.crashes |= CRASHING_BODIES
+        crasher.crashing_bodies |= CRASHING_BODIES
         crasher.start()
         return crasher
 
@@ -447,7 +447,7 @@
         self.rows.faults.down = False
 
     def _lose_writes(self, entry: EntryProcess) -> None:
-        self.rows.faults.lost_are_done = self.random.random() < 0.5
+        self.rows.faults.apply_lost_writes = self.random.random() < 0.5
         self.rows.faults.lose_writes = self.random.randint(1, 4)
 
     def _slow_store(self, entry: EntryProcess) -> None:
--- a/examples/platform_standins/crashing.py
+++ b/examples/platform_standins/crashing.py
@@ -41,7 +41,7 @@
     started, ended : callable
         Called with the id and the address after each start, and with the id once the
         platform would drop the registration of a process that has ended.
-    back_seconds : float
+    restart_seconds : float
         Time from a crash until the next start.
 
     Attributes
@@ -59,17 +59,17 @@
         name: str,
         started: Callable[[str, str], object],
         ended: Callable[[str], object],
-        back_seconds: float = 0.5,
+        restart_seconds: float = 0.5,
     ) -> None:
         self.address = address
-        self.crashes: set[bytes] = set()
+        self.crashing_bodies: set[bytes] = set()
         self.arrivals: list[Arrival] = []
         self.crashed_at: list[float] = []
         self.run_seconds = 0.01
         self._name = name
         self._started = started
         self._ended = ended
-        self._back_seconds = back_seconds
+        self._back_seconds = restart_seconds
         self._numbers = itertools.count(1)
         self._lock = threading.Lock()
         self._connections: set[socket.socket] = set()
@@ -125,7 +125,7 @@
             return b"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n"
         self.arrivals.append(Arrival(time.monotonic(), body))
         time.sleep(self.run_seconds)
-        if body in self.crashes:
+        if body in self.crashing_bodies:
             self._crash(id)
             raise ConnectionAbortedError
         attempt = headers.get(names.ATTEMPT_ID.lower(), "")
--- a/examples/platform_standins/deployment.py
+++ b/examples/platform_standins/deployment.py
@@ -16,7 +16,7 @@
 
 def configuration(
     version: int = 1,
-    one_version: bool = False,
+    single_version: bool = False,
     accounts: dict[str, list[str]] | None = None,
     **changes: object,
 ) -> bytes:
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    one_version : bool
+    single_version : bool
         Each sample of a Lot must come from one version of the weights.
     accounts : dict, optional
         API keys of each client account; without it calls need none.
@@ -63,7 +63,7 @@
             "maxAttempts": 3,
             "maxQueueS": 40,
             "deadlineMs": 7500,
-            "singleVersion": one_version,
+            "singleVersion": single_version,
         },
     ]
     services = [
--- a/examples/platform_standins/duties.py
+++ b/examples/platform_standins/duties.py
@@ -29,23 +29,23 @@
 
 
 @dataclass
-class DutyJudge:
+class DutyChecker:
     """Tells calls that contradict each other.
 
     Attributes
     ----------
-    apart : float
+    alternation_seconds : float
         Seconds within which holders must not take turns.
     """
 
-    apart: float = 3.0
+    alternation_seconds: float = 3.0
 
     def __post_init__(self) -> None:
         self.calls: list[DutyCall] = []
         self.reports: dict[int, dict[str, int]] = {}
         self.violations: list[str] = []
 
-    def take(self, call: DutyCall) -> None:
+    def check_call(self, call: DutyCall) -> None:
         """Judge a call by those before it."""
         earlier = [one for one in self.calls if one.subject == call.subject]
         self.calls.append(call)
@@ -54,12 +54,12 @@
             self.violations.append(f"two holders with one token: {call}")
         if earlier and call.fence < max(one.fence for one in earlier):
             self.violations.append(f"a lower token after a higher one: {call}")
-        recent = [one for one in earlier if call.at - one.at < self.apart]
+        recent = [one for one in earlier if call.at - one.at < self.alternation_seconds]
         since = [index for index, one in enumerate(recent) if one.holder == call.holder]
         if since and any(one.holder != call.holder for one in recent[since[0] :]):
             self.violations.append(f"holders take turns: {call}")
 
-    def take_usage(self, window: int, counts: dict[str, int]) -> None:
+    def check_usage(self, window: int, counts: dict[str, int]) -> None:
         """Judge a report of usage; an exact repeat is fine."""
         if self.reports.setdefault(window, counts) != counts:
             self.violations.append(
@@ -77,17 +77,17 @@
 
     Attributes
     ----------
-    judge : DutyJudge
+    checker : DutyChecker
     status : int
         What each call is answered with; only 200 takes it.
-    deaf : bool
+    drop_answers : bool
         Calls are taken, and not answered.
     """
 
     def __init__(self, address: str) -> None:
-        self.judge = DutyJudge()
+        self.checker = DutyChecker()
         self.status = 200
-        self.deaf = False
+        self.drop_answers = False
         self._lock = threading.Lock()
         super().__init__(address, self._answer, threads=20)
 
@@ -99,9 +99,9 @@
         holder = call.header(names.DUTY_HOLDER)
         fence = int(call.header(names.FENCING_TOKEN))
         with self._lock:
-            self.judge.take(DutyCall("usage", holder, fence, time.monotonic()))
-            self.judge.take_usage(body.window, body.counts)
-        if self.deaf:
+            self.checker.check_call(DutyCall("usage", holder, fence, time.monotonic()))
+            self.checker.check_usage(body.window, body.counts)
+        if self.drop_answers:
             call.abort()
             return
         call.reply(200)
--- a/examples/platform_standins/rows.py
+++ b/examples/platform_standins/rows.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Faults:
+class StoreFaults:
     """What the store does wrong, until told otherwise.
 
     Attributes
@@ -35,7 +35,7 @@
         Every call is refused, and nothing is done.
     lose_writes : int
         Writes whose answer is lost, from now on.
-    lost_are_done : bool
+    apply_lost_writes : bool
         Whether those writes take effect.
     calls : int
         Calls seen.
@@ -43,7 +43,7 @@
 
     down: bool = False
     lose_writes: int = 0
-    lost_are_done: bool = True
+    apply_lost_writes: bool = True
     calls: int = 0
 
 
@@ -57,7 +57,7 @@
 class MemoryRows:
     """A `RowStore` in memory; safe for use from many threads."""
 
-    faults: Faults = field(default_factory=Faults)
+    faults: StoreFaults = field(default_factory=StoreFaults)
     revision: int = 0
 
     def __post_init__(self) -> None:
@@ -121,7 +121,7 @@
                 return Unavailable("down")
             if self.faults.lose_writes:
                 self.faults.lose_writes -= 1
-                if self.faults.lost_are_done:
+                if self.faults.apply_lost_writes:
                     self._commit(expected, puts, deletes)
                 return Uncertain("lost")
             return self._commit(expected, puts, deletes)
--- a/examples/quickstart/run.py
+++ b/examples/quickstart/run.py
@@ -101,13 +101,13 @@
 
 def usage_of(cluster: Cluster) -> UsageReport:
     """Return what the platform has been told of usage so far."""
-    judge = cluster.duties.judge
-    reports = list(judge.reports.values())
+    checker = cluster.duties.checker
+    reports = list(checker.reports.values())
     return UsageReport(
         len(reports),
         sum(sum(counts.values()) for counts in reports),
         len({account for counts in reports for account in counts}),
-        len(judge.violations),
+        len(checker.violations),
     )
 
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -43,7 +43,7 @@
         for number in range(3)
     ]
     for service in made:
-        service.crashes.add(CRASHES)
+        service.crashing_bodies.add(CRASHES)
         service.start()
     return made
 
@@ -147,7 +147,7 @@
 def test_an_answer_clears_the_crashes_of_a_harmless_request(deployed, services):
     entry = deployed.add_entry("n1")
     wait_until_served(entry, HARMLESS)
-    services[2].crashes.clear()
+    services[2].crashing_bodies.clear()
     wait_for(lambda: send(entry, CRASHES).status == 200 and crashed_at(services))
     wait_for(lambda: entry._ledger.empty)
     wait_for(lambda: not deployed.rows.list("live/crash/").rows)
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -237,7 +237,7 @@
 def test_a_lot_whose_fate_is_unknown_is_not_refused(deployed):
     entry = deployed.add_entry("n1")
     deployed.rows.faults.lose_writes = 99
-    deployed.rows.faults.lost_are_done = False
+    deployed.rows.faults.apply_lost_writes = False
     assert submit(entry, "l1").status == 504
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -507,14 +507,14 @@
     assert outcome == NotExecuted("connection refused")
 
 
-@pytest.mark.parametrize("back_seconds", [60.0, 0.0])
+@pytest.mark.parametrize("restart_seconds", [60.0, 0.0])
 def test_a_crash_on_a_reused_connection_is_not_reported_as_not_executed(
-    back_seconds,
+    restart_seconds,
 ):
     crashing = CrashingService(
-        free_address(), "i-c", lambda id, at: None, lambda id: None, back_seconds
+        free_address(), "i-c", lambda id, at: None, lambda id: None, restart_seconds
     )
-    crashing.crashes.add(b"in")
+    crashing.crashing_bodies.add(b"in")
     crashing.start()
     _, exchange = make_exchange()
     harmless = replace(request(), body=b"harmless")
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -139,7 +139,7 @@
     rows, send = MemoryRows(), CountedSends()
     requests = make_requests(rows, "n1")
     run(requests, send, "first")
-    rows.faults.lose_writes, rows.faults.lost_are_done = 1, done
+    rows.faults.lose_writes, rows.faults.apply_lost_writes = 1, done
     ended = run(requests, send)
     assert send.count == (2 if done else 1)
     assert ended == ANSWER if done else ended.status == 503
@@ -180,7 +180,7 @@
     @rule(done=st.booleans())
     def lose_answer_of_next_write(self, done):
         self.rows.faults.lose_writes = 1
-        self.rows.faults.lost_are_done = done
+        self.rows.faults.apply_lost_writes = done
 
     @rule(
         name=st.sampled_from(("n1", "n2")),
--- a/tests/test_lot_repository.py
+++ b/tests/test_lot_repository.py
@@ -56,7 +56,7 @@
 def test_accept_is_in_doubt_if_all_answers_are_lost():
     store = make_store()
     store.faults.lose_writes = 9
-    store.faults.lost_are_done = False
+    store.faults.apply_lost_writes = False
     outcome = LotRepository(store, VALUE_BYTES).accept(make_lot(), "e1")
     assert isinstance(outcome, InDoubt)
 
@@ -177,7 +177,7 @@
     @rule(done=st.booleans())
     def lose_next_answer(self, done):
         self.store.faults.lose_writes = 1
-        self.store.faults.lost_are_done = done
+        self.store.faults.apply_lost_writes = done
 
     @invariant()
     def positions_never_change(self):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -190,7 +190,7 @@
     @rule(count=st.integers(1, 3), done=st.booleans())
     def lose_writes(self, count, done):
         self.store.faults.lose_writes = count
-        self.store.faults.lost_are_done = done
+        self.store.faults.apply_lost_writes = done
 
     @rule()
     def toggle_outage(self):
--- a/tests/test_results_in_doubt.py
+++ b/tests/test_results_in_doubt.py
@@ -21,7 +21,7 @@
 def lose_answers(deployed, entry):
     """Have the store accept the results of a Lot, but lose the answers to its owner."""
     submit(entry, "l1")
-    deployed.rows.faults.lost_are_done = True
+    deployed.rows.faults.apply_lost_writes = True
     deployed.rows.faults.lose_writes = 1_000
     wait_for(lambda: deployed.rows.list("lot-results/l1/").rows)
     wait_for(lambda: not entry._runner.owned("l1").open)
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from platform_standins.duties import DutyCall, DutyJudge
+from platform_standins.duties import DutyCall, DutyChecker
 from platform_standins.rows import MemoryRows
 from test_assignment_machine import SlowStore
 from wigeonfront.clock import ManualClock
@@ -61,9 +61,9 @@
 class Platform:
     """Accepts reports; a call may arrive late, and its answer may be lost."""
 
-    def __init__(self, clock, judge):
+    def __init__(self, clock, checker):
         self.clock = clock
-        self.judge = judge
+        self.checker = checker
         self.transit_seconds = 0.0
         self.answers_lost = False
         self.down = False
@@ -73,8 +73,8 @@
             return NotTaken("down")
         self.clock.advance(self.transit_seconds)
         now = self.clock.monotonic()
-        self.judge.take(DutyCall(SUBJECT, holder, fence, now))
-        self.judge.take_usage(window, dict(counts))
+        self.checker.check_call(DutyCall(SUBJECT, holder, fence, now))
+        self.checker.check_usage(window, dict(counts))
         return NotTaken("lost") if self.answers_lost else Taken()
 
 
@@ -162,8 +162,8 @@
         super().__init__()
         self.clock = ManualClock(1_000.0)
         self.rows = MemoryRows()
-        self.judge = DutyJudge(APART_SECONDS)
-        self.platform = Platform(self.clock, self.judge)
+        self.checker = DutyChecker(APART_SECONDS)
+        self.platform = Platform(self.clock, self.checker)
         self.machines = {}
         for name in NAMES:
             self.machines[name] = Machine(name, self)
@@ -261,11 +261,11 @@
 
     @invariant()
     def reports_are_consistent(self):
-        assert self.judge.violations == []
+        assert self.checker.violations == []
 
     @invariant()
     def counts_are_correct(self):
-        for window, counts in self.judge.reports.items():
+        for window, counts in self.checker.reports.items():
             if self.clock.time() >= BOUNDS.end(window) + SETTLE_SECONDS:
                 assert counts == self.true_counts.get(window, {}), window
 
@@ -286,7 +286,7 @@
         self.counts_are_correct()
         now = self.clock.time()
         last = BOUNDS.window_at(now - BOUNDS.due) - 1
-        assert last in self.judge.reports
+        assert last in self.checker.reports
 
 
 TestUsageWalk = UsageWalk.TestCase
@@ -310,7 +310,7 @@
     walk.platform.answers_lost = True
     walk.clock.advance(6.0)
     first.act()
-    assert walk.judge.reports
+    assert walk.checker.reports
     others = frozenset(NAMES) - {first.name}
     for name in others:
         machine = walk.machines[name]
@@ -322,8 +322,8 @@
             walk.machine_reads_the_row(name)
             walk.machines[name].act()
         first.act()
-        assert walk.judge.violations == []
-    assert len({call.holder for call in walk.judge.calls}) == 2
+        assert walk.checker.violations == []
+    assert len({call.holder for call in walk.checker.calls}) == 2
 
 
 def test_counts_of_a_late_write_are_read_and_sent():
@@ -333,7 +333,7 @@
     walk.clock.advance(6.0)
     holder.store.lose = True
     holder.act()
-    assert {"studio": 1} not in walk.judge.reports.values()
+    assert {"studio": 1} not in walk.checker.reports.values()
     holder.store.deliver()
     holder.act()
-    assert {"studio": 1} in walk.judge.reports.values()
+    assert {"studio": 1} in walk.checker.reports.values()
