--- a/examples/platform_standins/crashing.py
+++ b/examples/platform_standins/crashing.py
@@ -1,4 +1,4 @@
-"""A plain service whose process ends under some requests and is started again."""
+"""A plain service that crashes on some requests and restarts."""
 
 import itertools
 import socket
@@ -21,8 +21,9 @@
     Attributes
     ----------
     at : float
-        Monotonic time.
+        Monotonic time at which it began.
     body : bytes
+        Body of the request.
     """
 
     at: float
@@ -30,35 +31,40 @@
 
 
 class CrashingService:
-    """Answers with the request's body, or crashes.
+    """A service that answers with the request's body, or crashes.
 
     Parameters
     ----------
     address : str
-        ``host:port``, also after a restart.
+        ``host:port`` to listen on; a restart keeps it.
     name : str
-        Each start has an id of its own that begins with it.
-    started, ended : callable
-        Called with the id and the address after each start, and with the id once the
-        platform would drop the registration of a process that has ended.
+        Prefix of the incarnation's id; each start gets a new id.
+    on_start : callable
+        Called with the id and the address after each start.
+    on_end : callable
+        Called with the id just before a restart, when the platform would drop the
+        registration of the crashed process.
     restart_seconds : float
         Time from a crash until the next start.
 
     Attributes
     ----------
-    crashes : set of bytes
-        Bodies of the requests under which the process ends.
+    crashing_bodies : set of bytes
+        The process crashes when it runs a request with one of these bodies.
     arrivals : list of Arrival
+        Requests that began to run, in order.
     crashed_at : list of float
-        Monotonic times.
+        Monotonic times of the crashes.
+    run_seconds : float
+        Time that each request runs.
     """
 
     def __init__(
         self,
         address: str,
         name: str,
-        started: Callable[[str, str], object],
-        ended: Callable[[str], object],
+        on_start: Callable[[str, str], object],
+        on_end: Callable[[str], object],
         restart_seconds: float = 0.5,
     ) -> None:
         self.address = address
@@ -67,10 +73,10 @@
         self.crashed_at: list[float] = []
         self.run_seconds = 0.01
         self._name = name
-        self._started = started
-        self._ended = ended
-        self._back_seconds = restart_seconds
-        self._numbers = itertools.count(1)
+        self._on_start = on_start
+        self._on_end = on_end
+        self._restart_seconds = restart_seconds
+        self._start_numbers = itertools.count(1)
         self._lock = threading.Lock()
         self._connections: set[socket.socket] = set()
         self._listener: socket.socket | None = None
@@ -78,22 +84,22 @@
         self._stopped = False
 
     def start(self) -> None:
-        """Listen, under a new id."""
+        """Start listening, under a new id."""
         with self._lock:
             if self._stopped:
                 return
-            self._id = f"{self._name}.{next(self._numbers)}"
+            self._id = f"{self._name}.{next(self._start_numbers)}"
             self._listener = socket.create_server(parse_address(self.address))
             accepting = threading.Thread(
                 target=self._accept, args=(self._listener, self._id), daemon=True
             )
             accepting.start()
-        self._started(self._id, self.address)
+        self._on_start(self._id, self.address)
 
     def stop(self) -> None:
-        """End for good."""
+        """Stop the service for good; it does not restart."""
         self._stopped = True
-        self._end(self._id)
+        self._end_process(self._id)
 
     def _accept(self, listener: socket.socket, id: str) -> None:
         while True:
@@ -115,12 +121,12 @@
         try:
             while request := _read_request(connection):
                 headers, body = request
-                connection.sendall(self._answer(id, headers, body))
+                connection.sendall(self._respond(id, headers, body))
         except OSError:
-            # The process has ended, or the caller has gone.
+            # The simulated process has crashed, or the caller has disconnected.
             pass
 
-    def _answer(self, id: str, headers: dict[str, str], body: bytes) -> bytes:
+    def _respond(self, id: str, headers: dict[str, str], body: bytes) -> bytes:
         if headers.get(names.EXPECT_INSTANCE.lower(), id) != id:
             return b"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n"
         self.arrivals.append(Arrival(time.monotonic(), body))
@@ -136,21 +142,27 @@
         return head.encode() + body
 
     def _crash(self, id: str) -> None:
-        if self._end(id):
+        if self._end_process(id):
             self.crashed_at.append(time.monotonic())
-            threading.Timer(self._back_seconds, self._restart, args=(id,)).start()
+            threading.Timer(self._restart_seconds, self._restart, args=(id,)).start()
 
     def _restart(self, id: str) -> None:
-        self._ended(id)
+        self._on_end(id)
         self.start()
 
-    def _end(self, id: str) -> bool:
-        """End the process as its kernel does; ``False`` if it has ended before."""
+    def _end_process(self, id: str) -> bool:
+        """Close all sockets as the kernel does for a process that dies.
+
+        Returns
+        -------
+        bool
+            Whether the incarnation `id` was running.
+        """
         with self._lock:
             if self._id != id or self._listener is None:
                 return False
             self._id = ""
-            # Wakes the thread that accepts, which would keep the port open.
+            # Wakes the accepting thread, which would otherwise keep the port open.
             self._listener.shutdown(socket.SHUT_RDWR)
             self._listener.close()
             self._listener = None
@@ -162,13 +174,16 @@
 
 
 def _read_request(connection: socket.socket) -> tuple[dict[str, str], bytes] | None:
-    """Return the headers, by lower-case names, and the body of the next request."""
+    """Return the headers, by lower-case name, and the body of the next request.
+
+    Returns ``None`` if the caller has closed the connection.
+    """
     data = b""
     while b"\r\n\r\n" not in data:
-        piece = connection.recv(READ_BYTES)
-        if not piece:
+        chunk = connection.recv(READ_BYTES)
+        if not chunk:
             return None
-        data += piece
+        data += chunk
     head, _, body = data.partition(b"\r\n\r\n")
     headers = {}
     for line in head.decode("latin-1").split("\r\n")[1:]:
--- a/examples/platform_standins/deployment.py
+++ b/examples/platform_standins/deployment.py
@@ -1,4 +1,4 @@
-"""What an operator and the targets write into the store of a small deployment."""
+"""Rows that the operator, targets and trainers of a small deployment write."""
 
 import msgspec
 
@@ -20,16 +20,25 @@
     accounts: dict[str, list[str]] | None = None,
     **changes: object,
 ) -> bytes:
-    """Return a configuration.
+    """Return the document of a configuration.
+
+    It has a plain, a booking (non-idempotent), a stream and a Lot route.
 
     Parameters
     ----------
+    version : int
+        Version of the configuration.
     single_version : bool
-        Each sample of a Lot must come from one version of the weights.
-    accounts : dict, optional
-        API keys of each client account; without it calls need none.
+        Whether each sample of a Lot must come from one version of the weights.
+    accounts : dict of str to list of str, optional
+        API keys of each client account. Without it, calls need no API key.
     **changes
-        They replace fields of the plain route.
+        Fields that replace those of the plain route.
+
+    Returns
+    -------
+    bytes
+        The document as JSON.
     """
     plain = {
         "name": "plain",
@@ -84,7 +93,7 @@
 
 
 def registration(service: str, address: str, **changes: object) -> dict[str, object]:
-    """Return what a target writes of itself, with `changes` of its fields."""
+    """Return the registration that a target writes, with `changes` to its fields."""
     return {
         "service": service,
         "address": address,
@@ -98,14 +107,19 @@
 
 
 def register(
-    rows: MemoryRows, id: str, service: str, address: str, state: str = "ready", **more
+    rows: MemoryRows,
+    id: str,
+    service: str,
+    address: str,
+    state: str = "ready",
+    **changes: object,
 ) -> None:
-    """Register a target as it does itself."""
-    entry = registration(service, address, state=state, **more)
-    rows.put(f"servers/{id}", msgspec.json.encode(entry))
+    """Write the registration of a target as the target itself does."""
+    document = registration(service, address, state=state, **changes)
+    rows.put(f"servers/{id}", msgspec.json.encode(document))
 
 
 def name_version(rows: MemoryRows, version: int, model: str = MODEL) -> None:
-    """Name a version as a trainer does."""
+    """Write the version of a model's weights, as a trainer does."""
     value = msgspec.json.encode({"model": model, "version": version})
     rows.put(f"op/version/{model}", value)
--- a/examples/platform_standins/duties.py
+++ b/examples/platform_standins/duties.py
@@ -1,4 +1,4 @@
-"""The platform's interface for duties, which judges what it is sent."""
+"""The platform's interface for duties, with checks of the calls that it gets."""
 
 import threading
 import time
@@ -10,7 +10,7 @@
 from wigeonfront.http.raw import RawCall
 from wigeonfront.platform import headers as names
 
-MOST_BODY = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 
 
 class _Usage(msgspec.Struct):
@@ -20,7 +20,19 @@
 
 @dataclass(frozen=True)
 class DutyCall:
-    """A call that was taken, with the monotonic time of its arrival."""
+    """A call that the interface accepted.
+
+    Attributes
+    ----------
+    subject : str
+        The duty.
+    holder : str
+        Entry that holds the duty.
+    fence : int
+        Fencing token of the call.
+    at : float
+        Monotonic time of arrival.
+    """
 
     subject: str
     holder: str
@@ -30,12 +42,19 @@
 
 @dataclass
 class DutyChecker:
-    """Tells calls that contradict each other.
+    """Finds calls that contradict earlier ones.
 
     Attributes
     ----------
     alternation_seconds : float
-        Seconds within which holders must not take turns.
+        If a holder calls, another one after it and then the first one again within
+        this time, the holders alternate, which is a violation.
+    calls : list of DutyCall
+        All calls, in order of arrival.
+    reports : dict of int to dict of str to int
+        First report of usage of each window: requests by client account.
+    violations : list of str
+        Descriptions of the contradictions.
     """
 
     alternation_seconds: float = 3.0
@@ -46,42 +65,47 @@
         self.violations: list[str] = []
 
     def check_call(self, call: DutyCall) -> None:
-        """Judge a call by those before it."""
-        earlier = [one for one in self.calls if one.subject == call.subject]
+        """Check a call against the earlier ones of its subject."""
+        earlier = [other for other in self.calls if other.subject == call.subject]
         self.calls.append(call)
-        others = [one for one in earlier if one.holder != call.holder]
-        if any(one.fence == call.fence for one in others):
-            self.violations.append(f"two holders with one token: {call}")
-        if earlier and call.fence < max(one.fence for one in earlier):
-            self.violations.append(f"a lower token after a higher one: {call}")
-        recent = [one for one in earlier if call.at - one.at < self.alternation_seconds]
-        since = [index for index, one in enumerate(recent) if one.holder == call.holder]
-        if since and any(one.holder != call.holder for one in recent[since[0] :]):
-            self.violations.append(f"holders take turns: {call}")
+        foreign = [other for other in earlier if other.holder != call.holder]
+        if any(other.fence == call.fence for other in foreign):
+            self.violations.append(f"two holders used the same fencing token: {call}")
+        if earlier and call.fence < max(other.fence for other in earlier):
+            self.violations.append(f"fencing token lower than an earlier one: {call}")
+        recent = [
+            other for other in earlier if call.at - other.at < self.alternation_seconds
+        ]
+        since = [
+            index for index, other in enumerate(recent) if other.holder == call.holder
+        ]
+        if since and any(other.holder != call.holder for other in recent[since[0] :]):
+            self.violations.append(f"holders alternate: {call}")
 
     def check_usage(self, window: int, counts: dict[str, int]) -> None:
-        """Judge a report of usage; an exact repeat is fine."""
+        """Check a report of usage; an exact repetition is no violation."""
         if self.reports.setdefault(window, counts) != counts:
             self.violations.append(
-                f"window {window}: {self.reports[window]} and then {counts}"
+                f"window {window}: report {self.reports[window]}, then {counts}"
             )
 
 
 class DutyServer(StandInServer):
-    """The interface at `address`.
+    """Server of the interface for duties.
 
     Parameters
     ----------
     address : str
-        ``host:port``.
+        ``host:port`` to listen on.
 
     Attributes
     ----------
     checker : DutyChecker
+        Checks the calls that are accepted.
     status : int
-        What each call is answered with; only 200 takes it.
+        Status of each answer. With any other than 200 the call is not accepted.
     drop_answers : bool
-        Calls are taken, and not answered.
+        Whether the connection of an accepted call is aborted without an answer.
     """
 
     def __init__(self, address: str) -> None:
@@ -92,7 +116,7 @@
         super().__init__(address, self._answer, threads=20)
 
     def _answer(self, call: RawCall) -> None:
-        body = msgspec.json.decode(call.body(MOST_BODY), type=_Usage)
+        body = msgspec.json.decode(call.body(MAX_BODY_BYTES), type=_Usage)
         if self.status != 200:
             call.reply(self.status)
             return
--- a/examples/platform_standins/engine.py
+++ b/examples/platform_standins/engine.py
@@ -1,4 +1,4 @@
-"""A model engine that speaks the platform's protocol, and a plain service beside it."""
+"""A model engine and a plain service that speak the platform's protocol."""
 
 import itertools
 import threading
@@ -13,29 +13,30 @@
 from wigeonfront.http.raw import RawCall
 from wigeonfront.platform import headers as names
 
-MOST_BODY = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 
 
 @dataclass
 class EngineFaults:
-    """What an engine does wrong, until told otherwise.
+    """Faults that an engine injects until they are changed.
 
     Attributes
     ----------
     cut_after : int
-        Events after which each stream is cut; 0 for never.
+        Number of events after which a stream is cut off within the next event; 0 for
+        never.
     cuts : int
-        Streams that are still to be cut so.
+        Number of streams that are still to be cut off; 0 for none.
     event_seconds : float
-        Time for an event.
+        Time that the engine takes for an event.
     statuses : dict of str to int
-        Status that a sample gets in place of a stream, by its id.
+        Status that a sample gets in place of a stream, by sample id.
     refuse : bool
-        Everything is refused as not run.
+        Whether the engine refuses all requests and says that it didn't run them.
     silent : bool
-        Streams stop in the middle without a word.
+        Whether streams stall after their first event, with the connection open.
     hang : bool
-        Nothing of an answer comes until the engine is released.
+        Whether no answer begins until `Engine.release` is set, but at most for 10 s.
     """
 
     cut_after: int = 0
@@ -47,13 +48,13 @@
     hang: bool = False
 
 
-def lower_headers(call: RawCall) -> dict[str, str]:
-    """Return the headers of a call by their lower-case names."""
+def lowercase_headers(call: RawCall) -> dict[str, str]:
+    """Return the headers of a call by lower-case name."""
     return {name.lower(): value for name, value in call.headers}
 
 
-RUNS_PAUSE_SECONDS = 0.005
-"""Pause between two looks whether the runs have ended."""
+RUNS_POLL_SECONDS = 0.005
+"""Interval at which an order checks whether the runs have ended."""
 
 
 class _Order(msgspec.Struct):
@@ -66,22 +67,23 @@
 
 
 class Engine(StandInServer):
-    """One engine.
+    """A model engine that streams the events of samples.
 
     Parameters
     ----------
     address : str
-        ``host:port``.
+        ``host:port`` to listen on.
     id : str
-        Of its incarnation.
+        Id of the engine's incarnation.
     versions : dict of str to int
-        Version of each model.
+        Version of the weights of each model.
     events : int
-        Events of each sample.
+        Number of events of each sample.
     load_seconds : float
-        Time that an order takes.
-    loaded : callable, optional
-        Called after each load, to write the versions into the registration.
+        Time that loading a version takes.
+    on_load : callable, optional
+        Called with the engine after each load, so that the versions can be written
+        into its registration.
     """
 
     def __init__(
@@ -91,49 +93,51 @@
         versions: dict[str, int],
         events: int = 5,
         load_seconds: float = 0.05,
-        loaded: Callable[["Engine"], None] | None = None,
+        on_load: Callable[["Engine"], None] | None = None,
     ) -> None:
         self.id = id
         self.versions = dict(versions)
         self.events = events
         self.faults = EngineFaults()
+        # Number of runs of each sample or request.
         self.run_counts: Counter[str] = Counter()
-        # Versions under which it made each event of each sample.
+        # Versions that generated each event, by sample id and number of the event.
         self.event_versions: dict[tuple[str, int], set[int]] = {}
-        # Event behind which each sample's last run began.
+        # Number of the event after which each sample's last run began; 0 for none.
         self.began_after: dict[str, int] = {}
-        # Monotonic time at which each sample's last event was first made.
+        # Monotonic time at which each sample's last event was first generated.
         self.ended_at: dict[str, float] = {}
-        # Headers with which each sample or request came last, by lower-case name.
+        # Headers of the last run of each sample or request, by lower-case name.
         self.headers: dict[str, dict[str, str]] = {}
+        # Ends the fault `hang`.
         self.release = threading.Event()
         self.orders: list[_Order] = []
         self.running = 0
         self._loading = False
-        # Model whose runs end before its next version is loaded.
+        # Model of the order that waits for all runs to end; it gets no new runs.
         self._finishing = ""
         self._load_seconds = load_seconds
-        self._loaded = loaded
+        self._on_load = on_load
         self._lock = threading.Lock()
         super().__init__(address, self._answer, threads=100)
 
     def data(self, sample: str, event: int) -> str:
-        """Return the data of an event, which depends on the sample alone."""
+        """Return the data of an event; it is the same on every engine and version."""
         return f"{sample}:{event}"
 
     def text(self, sample: str) -> str:
-        """Return the whole text of a sample."""
+        """Return the complete text of a sample."""
         return "\n".join(self.data(sample, n + 1) for n in range(self.events))
 
     def _answer(self, call: RawCall) -> None:
         if call.path == "/report":
-            self._report(call)
+            self._reply_report(call)
         elif call.path == "/order":
-            self._order(call)
+            self._take_order(call)
         else:
             self._generate(call)
 
-    def _report(self, call: RawCall) -> None:
+    def _reply_report(self, call: RawCall) -> None:
         models = [
             {"name": name, "version": version}
             for name, version in self.versions.items()
@@ -146,8 +150,8 @@
         }
         call.reply_json(200, report)
 
-    def _order(self, call: RawCall) -> None:
-        order = msgspec.json.decode(call.body(MOST_BODY), type=_Order)
+    def _take_order(self, call: RawCall) -> None:
+        order = msgspec.json.decode(call.body(MAX_BODY_BYTES), type=_Order)
         if call.header(names.EXPECT_INSTANCE) not in ("", self.id):
             call.reply(421)
             return
@@ -163,16 +167,16 @@
 
     def _load(self, order: _Order) -> None:
         while self._finishing and self.running:
-            time.sleep(RUNS_PAUSE_SECONDS)
+            time.sleep(RUNS_POLL_SECONDS)
         time.sleep(self._load_seconds)
         self.versions[order.model] = order.version
         self._finishing = ""
         self._loading = False
-        if self._loaded:
-            self._loaded(self)
+        if self._on_load:
+            self._on_load(self)
 
     def _generate(self, call: RawCall) -> None:
-        call.body(MOST_BODY)
+        call.body(MAX_BODY_BYTES)
         id = call.header(names.ATTEMPT_ID)
         if call.header(names.EXPECT_INSTANCE) not in ("", self.id):
             call.reply(421, headers=((names.NOT_EXECUTED, "1"),))
@@ -182,25 +186,25 @@
             return
         with self._lock:
             self.run_counts[id] += 1
-        self.headers[id] = lower_headers(call)
+        self.headers[id] = lowercase_headers(call)
         status = self.faults.statuses.get(id)
-        seal = ((names.ATTEMPT_ID, id), (names.SEAL, "s"))
+        seal_headers = ((names.ATTEMPT_ID, id), (names.SEAL, "s"))
         if status:
-            call.reply(status, b"", seal)
+            call.reply(status, b"", seal_headers)
             return
         self.running += 1
         try:
             if self.faults.hang:
                 self.release.wait(10)
-            self._stream(call, id, seal)
+            self._stream(call, id, seal_headers)
         finally:
             self.running -= 1
 
     def _stream(
-        self, call: RawCall, id: str, seal: tuple[tuple[str, str], ...]
+        self, call: RawCall, id: str, seal_headers: tuple[tuple[str, str], ...]
     ) -> None:
         version = self.versions.get(call.header(names.MODEL), 1)
-        call.begin(200, (*seal, (names.VERSION, str(version))))
+        call.begin(200, (*seal_headers, (names.VERSION, str(version))))
         after = int(call.header(names.LAST_EVENT_ID) or 0)
         self.began_after[id] = after
         for number in range(after + 1, self.events + 1):
@@ -220,26 +224,39 @@
 
 
 class PlainService(StandInServer):
-    """A plain service that answers with its request's body.
+    """A plain service that answers with the request's body.
 
     Parameters
     ----------
-    address, id : str
+    address : str
+        ``host:port`` to listen on.
+    id : str
+        Id of the service's incarnation.
 
     Attributes
     ----------
-    marks : dict of str to list of str
-        Marks of its successful answers, by the request's id.
+    status : int
+        Status of each answer.
+    statuses : dict of str to int
+        Status of the answers to particular requests, by request id.
+    refuse : bool
+        Whether it refuses all requests and says that it didn't run them.
+    refusal_seconds : float
+        Time before a refusal.
+    cut : bool
+        Whether it runs requests and then aborts the connection without an answer.
+    run_seconds : float
+        Time that each request runs.
+    requests : list of tuple of (str, str, bytes)
+        Method, target and body of each request that began to run.
+    seals : dict of str to list of str
+        Seals of the successful answers, by request id.
     arrived : dict of str to list of float
-        Monotonic times at which requests began to run, by id.
+        Monotonic times at which requests began to run, by request id.
     failed : Counter of str
-        Answers of 500, by the request's id.
-    refusal_seconds : float
-        Seconds before a refusal.
-    statuses : dict of str to int
-        Status that a request gets, by its id.
-    headers : dict of str to dict
-        Headers with which each request came last, by lower-case name.
+        Number of answers with status 500, by request id.
+    headers : dict of str to dict of str to str
+        Headers of the last run of each request, by request id and lower-case name.
     """
 
     def __init__(self, address: str, id: str) -> None:
@@ -255,11 +272,11 @@
         self.failed: Counter[str] = Counter()
         self.statuses: dict[str, int] = {}
         self.headers: dict[str, dict[str, str]] = {}
-        self._numbers = itertools.count(1)
+        self._seal_numbers = itertools.count(1)
         super().__init__(address, self._answer, threads=50)
 
     def _answer(self, call: RawCall) -> None:
-        body = call.body(MOST_BODY)
+        body = call.body(MAX_BODY_BYTES)
         id = call.header(names.ATTEMPT_ID)
         if call.header(names.EXPECT_INSTANCE) not in ("", self.id):
             call.reply(421, headers=((names.NOT_EXECUTED, "1"),))
@@ -268,7 +285,7 @@
             time.sleep(self.refusal_seconds)
             call.reply(503, headers=((names.NOT_EXECUTED, "1"),))
             return
-        self.headers[id] = lower_headers(call)
+        self.headers[id] = lowercase_headers(call)
         self.requests.append((call.method, call.target, body))
         self.arrived.setdefault(id, []).append(time.monotonic())
         time.sleep(self.run_seconds)
@@ -276,8 +293,8 @@
             call.abort()
             return
         status = self.statuses.get(id, self.status)
-        mark = f"{self.id}.{next(self._numbers)}"
+        seal = f"{self.id}.{next(self._seal_numbers)}"
         if status == 200:
-            self.seals.setdefault(id, []).append(mark)
+            self.seals.setdefault(id, []).append(seal)
         self.failed[id] += status == 500
-        call.reply(status, body, ((names.ATTEMPT_ID, id), (names.SEAL, mark)))
+        call.reply(status, body, ((names.ATTEMPT_ID, id), (names.SEAL, seal)))
--- a/examples/platform_standins/relay.py
+++ b/examples/platform_standins/relay.py
@@ -1,6 +1,6 @@
-"""A TCP relay between two processes that can cut, silence and delay.
+"""A TCP relay that injects faults between two processes: resets, silence and delay.
 
-For tests and experiments, in their own process.
+It runs in the process of the test or experiment that uses it.
 """
 
 import socket
@@ -9,13 +9,21 @@
 import time
 from dataclasses import dataclass
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @dataclass(slots=True, eq=False)
 class Link:
-    """One relayed connection; a silenced way reads and drops what is sent."""
+    """A relayed connection.
+
+    Attributes
+    ----------
+    client, target : socket.socket
+        Sockets to both ends.
+    silent_to_target, silent_to_client : bool
+        Whether data that is sent in this direction is read and dropped.
+    """
 
     client: socket.socket
     target: socket.socket
@@ -23,31 +31,33 @@
     silent_to_client: bool = False
 
     def reset(self) -> None:
-        """End both halves; the thread that opened them closes them."""
+        """Reset both sockets; the thread that relays them closes them."""
         for end in (self.client, self.target):
             try:
                 end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 end.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # It has ended already.
+                pass  # The connection has ended already.
 
 
 class Relay:
-    """Relays connections made to `listen` on to `target`.
+    """Relay of the connections to one address on to another.
 
     Parameters
     ----------
-    listen, target : tuple of (str, int)
-        Addresses; port 0 in `listen` takes a free one.
+    listen : tuple of (str, int)
+        Host and port to listen on; port 0 chooses a free one.
+    target : tuple of (str, int)
+        Host and port to relay to.
     delay : float
-        Seconds that each piece of data waits, one way.
+        Seconds by which each chunk of data is delayed in each direction.
 
     Attributes
     ----------
     address : tuple of (str, int)
-        Where it listens.
+        Host and port on which the relay listens.
     delay : float
-        May be changed at any time.
+        The delay in seconds; it can be changed at any time.
     """
 
     def __init__(
@@ -60,10 +70,10 @@
         self._listener = socket.create_server(listen, backlog=256)
         self.address = self._listener.getsockname()
         self.delay = delay
-        threading.Thread(target=self._accept_for_ever, daemon=True).start()
+        threading.Thread(target=self._accept_connections, daemon=True).start()
 
     def cut(self) -> None:
-        """Reset all connections, and each new one, until `heal`."""
+        """Reset all connections, and each new one until `heal` is called."""
         self._state = "cut"
         with self._lock:
             links = list(self._links)
@@ -71,19 +81,25 @@
             link.reset()
 
     def partition(self) -> None:
-        """Silence all connections, and each new one, until `heal`."""
+        """Silence all connections, and each new one until `heal` is called."""
         self._state = "silent"
         self.silence()
 
     def silence(self, to_target: bool = True, to_client: bool = True) -> None:
-        """Silence the connections that are open now, for good; new ones work."""
+        """Silence the connections that are open now, for good; new ones work.
+
+        Parameters
+        ----------
+        to_target, to_client : bool
+            Directions to silence.
+        """
         with self._lock:
             for link in self._links:
                 link.silent_to_target |= to_target
                 link.silent_to_client |= to_client
 
     def heal(self) -> None:
-        """Relay new connections again; silenced ones stay silent."""
+        """Relay new connections again; those that are silenced stay silent."""
         self._state = "open"
 
     def close(self) -> None:
@@ -92,19 +108,21 @@
         self._listener.close()
         self.cut()
 
-    def _accept_for_ever(self) -> None:
+    def _accept_connections(self) -> None:
         while True:
             try:
                 client, _ = self._listener.accept()
             except OSError:
-                return  # The relay was closed.
+                return  # The relay has been closed.
             if self._state == "cut":
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
                 client.close()
                 continue
-            threading.Thread(target=self._open, args=(client,), daemon=True).start()
+            threading.Thread(
+                target=self._relay_connection, args=(client,), daemon=True
+            ).start()
 
-    def _open(self, client: socket.socket) -> None:
+    def _relay_connection(self, client: socket.socket) -> None:
         try:
             target = socket.create_connection(self._target, timeout=5)
         except OSError:
@@ -127,21 +145,24 @@
         target.close()
 
     def _pump(self, link: Link, to_target: bool) -> None:
-        """Move data one way until its source ends; a silenced end goes unseen."""
+        """Relay one direction until its source ends.
+
+        While the direction is silent, its end and its errors aren't passed on either.
+        """
         source, sink = link.client, link.target
         if not to_target:
             source, sink = sink, source
         try:
-            while data := source.recv(CHUNK):
+            while data := source.recv(CHUNK_BYTES):
                 if self.delay:
                     time.sleep(self.delay)
-                if not self._silent(link, to_target):
+                if not self._is_silent(link, to_target):
                     sink.sendall(data)
-            if not self._silent(link, to_target):
+            if not self._is_silent(link, to_target):
                 sink.shutdown(socket.SHUT_WR)
         except OSError:
-            if not self._silent(link, to_target):
+            if not self._is_silent(link, to_target):
                 link.reset()
 
-    def _silent(self, link: Link, to_target: bool) -> bool:
+    def _is_silent(self, link: Link, to_target: bool) -> bool:
         return link.silent_to_target if to_target else link.silent_to_client
--- a/examples/platform_standins/rows.py
+++ b/examples/platform_standins/rows.py
@@ -1,4 +1,4 @@
-"""The state of a linearizable row store: transactions, leases, watches, faults."""
+"""A linearizable row store in memory, with leases, watches and injected faults."""
 
 import threading
 import time
@@ -22,23 +22,24 @@
     Uncertain,
 )
 
-HISTORY = 1_000
+MAX_KEPT_CHANGES = 1_000
+"""Changes that a watch can still read; older ones are dropped."""
 
 
 @dataclass
 class StoreFaults:
-    """What the store does wrong, until told otherwise.
+    """Faults that the store injects until they are changed.
 
     Attributes
     ----------
     down : bool
-        Every call is refused, and nothing is done.
+        Whether the store refuses every call and changes nothing.
     lose_writes : int
-        Writes whose answer is lost, from now on.
+        Number of next writes whose answer is lost.
     apply_lost_writes : bool
-        Whether those writes take effect.
+        Whether the writes whose answer is lost take effect.
     calls : int
-        Calls seen.
+        Number of calls so far; not a fault.
     """
 
     down: bool = False
@@ -48,22 +49,30 @@
 
 
 @dataclass
-class _Held:
+class _HeldRow:
     row: Row
     lease: int = 0
 
 
 @dataclass
 class MemoryRows:
-    """A `RowStore` in memory; safe for use from many threads."""
+    """A `RowStore` in memory, safe for use from many threads.
+
+    Attributes
+    ----------
+    faults : StoreFaults
+        Faults to inject.
+    revision : int
+        Revision of the last write; 0 before the first.
+    """
 
     faults: StoreFaults = field(default_factory=StoreFaults)
     revision: int = 0
 
     def __post_init__(self) -> None:
         self._lock = threading.Condition()
-        self._rows: dict[str, _Held] = {}
-        self._log: deque[Change] = deque(maxlen=HISTORY)
+        self._rows: dict[str, _HeldRow] = {}
+        self._log: deque[Change] = deque(maxlen=MAX_KEPT_CHANGES)
         self._compacted = 0
         self._leases: dict[int, tuple[float, float]] = {}
         self._next_lease = 1
@@ -71,7 +80,7 @@
     def get(self, key: str) -> Row | Absent | Unavailable:
         """Read one key."""
         with self._lock:
-            if self._refuses():
+            if self._refuses_call():
                 return Unavailable("down")
             held = self._rows.get(key)
             return held.row if held else Absent(self.revision)
@@ -79,9 +88,9 @@
     def list(
         self, prefix: str, after: str = "", stale: bool = False
     ) -> Listing | Unavailable:
-        """Read all keys below `prefix` that sort behind `after`."""
+        """Read all rows whose keys begin with `prefix` and sort after `after`."""
         with self._lock:
-            if self._refuses():
+            if self._refuses_call():
                 return Unavailable("down")
             rows = [
                 held.row
@@ -91,11 +100,11 @@
             return Listing(tuple(rows), self.revision)
 
     def watch(self, prefix: str, after: int, timeout: float) -> Changes | Unavailable:
-        """Wait up to `timeout` seconds for writes below `prefix` after a revision."""
+        """Wait up to `timeout` seconds for writes below `prefix` since `after`."""
         deadline = time.monotonic() + timeout
         with self._lock:
             while True:
-                if self._refuses():
+                if self._refuses_call():
                     return Unavailable("down")
                 if after < self._compacted:
                     return Changes((), after, compacted=True)
@@ -115,9 +124,9 @@
         puts: tuple[Put, ...] = (),
         deletes: tuple[str, ...] = (),
     ) -> TransactionOutcome:
-        """Write all of it if every condition holds, otherwise nothing."""
+        """Write and delete all rows if every condition holds, otherwise none."""
         with self._lock:
-            if self._refuses():
+            if self._refuses_call():
                 return Unavailable("down")
             if self.faults.lose_writes:
                 self.faults.lose_writes -= 1
@@ -129,7 +138,7 @@
     def grant_lease(self, ttl: float) -> Lease | Unavailable | Uncertain:
         """Ask for a lease of `ttl` seconds."""
         with self._lock:
-            if self._refuses():
+            if self._refuses_call():
                 return Unavailable("down")
             lease = self._next_lease
             self._next_lease += 1
@@ -137,9 +146,9 @@
             return Lease(lease, ttl)
 
     def renew_lease(self, lease: int) -> Lease | LeaseLost | Unavailable:
-        """Renew a lease for its full term."""
+        """Renew a lease for its full time to live."""
         with self._lock:
-            if self._refuses():
+            if self._refuses_call():
                 return Unavailable("down")
             if lease not in self._leases:
                 return LeaseLost(lease)
@@ -150,7 +159,7 @@
     def revoke_lease(self, lease: int) -> Stored | LeaseLost | Unavailable | Uncertain:
         """End a lease at once."""
         with self._lock:
-            if self._refuses():
+            if self._refuses_call():
                 return Unavailable("down")
             if lease not in self._leases:
                 return LeaseLost(lease)
@@ -158,31 +167,31 @@
             return Stored(self.revision)
 
     def put(self, key: str, value: bytes) -> int:
-        """Write as the operator or a target does, past all faults."""
+        """Write a row as the operator or a target does; faults have no effect on it."""
         with self._lock:
             self._apply((Put(key, value),), ())
             return self.revision
 
     def remove(self, key: str) -> None:
-        """Delete as a target does, past all faults."""
+        """Delete a row as a target does; faults have no effect on it."""
         with self._lock:
             self._apply((), (key,))
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Drop the history, so that a watch from an older revision is refused."""
         with self._lock:
             self._compacted = self.revision
             self._log.clear()
             self._lock.notify_all()
 
-    def _refuses(self) -> bool:
+    def _refuses_call(self) -> bool:
         self.faults.calls += 1
-        self._expire()
+        self._expire_leases()
         return self.faults.down
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now = time.monotonic()
-        for lease in [one for one, (end, _) in self._leases.items() if end < now]:
+        for lease in [id for id, (end, _) in self._leases.items() if end < now]:
             self._end_lease(lease)
 
     def _end_lease(self, lease: int) -> None:
@@ -197,9 +206,9 @@
         puts: tuple[Put, ...],
         deletes: tuple[str, ...],
     ) -> TransactionOutcome:
-        now = {row.key: self._revision_of(row.key) for row in expected}
-        if any(now[row.key] != row.revision for row in expected):
-            return Mismatch(now)
+        revisions = {row.key: self._revision_of(row.key) for row in expected}
+        if any(revisions[row.key] != row.revision for row in expected):
+            return Mismatch(revisions)
         lost = [put.lease for put in puts if put.lease not in {0, *self._leases}]
         if lost:
             return LeaseLost(lost[0])
@@ -214,7 +223,7 @@
         self.revision += 1
         for put in puts:
             row = Row(put.key, put.value, self.revision)
-            self._rows[put.key] = _Held(row, put.lease)
+            self._rows[put.key] = _HeldRow(row, put.lease)
             self._log.append(Change(put.key, put.value, self.revision))
         for key in deletes:
             if self._rows.pop(key, None) is not None:
--- a/examples/platform_standins/server.py
+++ b/examples/platform_standins/server.py
@@ -1,4 +1,4 @@
-"""What the stand-ins that listen have in common."""
+"""Base of the stand-ins that serve HTTP."""
 
 import threading
 
@@ -6,16 +6,16 @@
 
 
 class StandInServer:
-    """A stand-in that serves calls from a thread of its own.
+    """HTTP server of a stand-in; it runs in threads of the current process.
 
     Parameters
     ----------
     address : str
-        ``host:port``.
+        ``host:port`` to listen on.
     answer : callable
         Answers each call.
     threads : int
-        Most calls served at once.
+        Maximum number of calls that are served at once.
     """
 
     def __init__(self, address: str, answer: RawHandler, threads: int) -> None:
@@ -23,7 +23,7 @@
         self._server = RawServer(address, answer, threads)
 
     def start(self) -> None:
-        """Listen and serve from a thread."""
+        """Start listening, and serve calls from a new thread."""
         self._server.bind()
         thread = threading.Thread(target=self._server.run, args=(None,), daemon=True)
         thread.start()
--- a/examples/platform_standins/store.py
+++ b/examples/platform_standins/store.py
@@ -1,4 +1,4 @@
-"""Serves `MemoryRows` over the protocol of the platform's store."""
+"""Server of `MemoryRows` that speaks the protocol of the platform's store."""
 
 import base64
 from urllib.parse import parse_qs
@@ -22,7 +22,7 @@
 )
 from wigeonfront.http.raw import RawCall
 
-MOST_BODY = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
 class _Expected(msgspec.Struct):
@@ -47,13 +47,14 @@
 
 
 class StoreServer(StandInServer):
-    """The store at `address`.
+    """Server of the store.
 
     Parameters
     ----------
     address : str
-        ``host:port``.
+        ``host:port`` to listen on.
     rows : MemoryRows
+        State of the store.
     """
 
     def __init__(self, address: str, rows: MemoryRows) -> None:
@@ -73,12 +74,12 @@
         elif call.path == "/kv-txn":
             self._write(call)
         elif call.path == "/kv-lease":
-            body = msgspec.json.decode(call.body(MOST_BODY), type=_Grant)
-            self._leased(call, self._rows.grant_lease(body.ttl_ms / 1000))
+            body = msgspec.json.decode(call.body(MAX_BODY_BYTES), type=_Grant)
+            self._reply_lease(call, self._rows.grant_lease(body.ttl_ms / 1000))
         elif call.path.startswith("/kv-keep/"):
-            self._leased(call, self._rows.renew_lease(_number(call.path)))
+            self._reply_lease(call, self._rows.renew_lease(_lease_id(call.path)))
         elif call.path.startswith("/kv-lease-end/"):
-            self._ended(call, self._rows.revoke_lease(_number(call.path)))
+            self._reply_lease_end(call, self._rows.revoke_lease(_lease_id(call.path)))
         else:
             call.reply(404)
 
@@ -112,7 +113,7 @@
             call.reply_json(200, {"events": events, "at": changes.revision})
 
     def _write(self, call: RawCall) -> None:
-        body = msgspec.json.decode(call.body(MOST_BODY), type=_Transaction)
+        body = msgspec.json.decode(call.body(MAX_BODY_BYTES), type=_Transaction)
         expected = tuple(Expect(row.key, row.revision) for row in body.expected)
         puts = tuple(
             Put(put.key, base64.b64decode(put.value), put.lease) for put in body.puts
@@ -134,21 +135,21 @@
         else:
             call.reply(503)
 
-    def _leased(self, call: RawCall, outcome: object) -> None:
+    def _reply_lease(self, call: RawCall, outcome: object) -> None:
         if isinstance(outcome, Lease):
             body = {"lease": outcome.lease, "ttlMs": int(outcome.ttl * 1000)}
             call.reply_json(200, body)
         else:
             call.reply(404 if isinstance(outcome, LeaseLost) else 503)
 
-    def _ended(self, call: RawCall, outcome: object) -> None:
+    def _reply_lease_end(self, call: RawCall, outcome: object) -> None:
         if isinstance(outcome, Stored):
             call.reply_json(200, {})
         else:
             call.reply(404 if isinstance(outcome, LeaseLost) else 503)
 
 
-def _number(path: str) -> int:
+def _lease_id(path: str) -> int:
     return int(path.rpartition("/")[2])
 
 
--- a/examples/quickstart/cluster.py
+++ b/examples/quickstart/cluster.py
@@ -72,7 +72,7 @@
             f"engine-{number}",
             versions,
             events=EVENTS,
-            loaded=lambda engine: self._register(engine, number),
+            on_load=lambda engine: self._register(engine, number),
         )
         engine.faults.event_seconds = EVENT_SECONDS
         return engine
