--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# From a fresh machine with Python 3.11 or later: `make run`, `make test`.
+# `make run` and `make test` need just Python 3.11 or later; they install the rest.
 
 PYTHON ?= python3
 VENV := .venv
@@ -9,21 +9,21 @@
 
 .PHONY: run test lint binary bench clean
 
-## Run both example deployments on stand-ins and print what was measured.
+## Run both example deployments on stand-ins and print their measurements.
 run: $(VENV)/ready
 	$(RUN) -m quickstart.run --deployment both --seconds $(SECONDS)
 
-## Run all tests, in processes side by side: most of their time is waiting.
+## Run all tests in parallel processes, as they spend most of their time waiting.
 TEST_PROCESSES ?= 8
 test: $(VENV)/ready
 	$(BIN)/python -m pytest -n $(TEST_PROCESSES) --dist worksteal
 
-## Check format and lint.
+## Check the format and lint.
 lint: $(VENV)/ready
 	$(BIN)/ruff format --check .
 	$(BIN)/ruff check .
 
-## Build the single file dist/wigeonfront.
+## Build the single-file program dist/wigeonfront.
 binary: $(VENV)/ready
 	$(BIN)/python .ci/build_binary.py
 
@@ -40,7 +40,7 @@
 	$(BIN)/python -m pip install --quiet --editable '.[dev]'
 	touch $@
 
-## Play seeds of the fault soak: make soak SEEDS=1-50.
+## Run the fault soak with some seeds: make soak SEEDS=1-50.
 SEEDS ?= 1-3
 .PHONY: soak
 soak: $(VENV)/ready
--- a/examples/quickstart/__init__.py
+++ b/examples/quickstart/__init__.py
@@ -1,1 +1,1 @@
-"""Two small deployments of wigeonfront's processes on stand-ins of a platform."""
+"""Two small example deployments of wigeonfront on stand-ins of a platform."""
--- a/examples/quickstart/cluster.py
+++ b/examples/quickstart/cluster.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a platform and the processes of wigeonfront on them."""
+"""Stand-ins of a platform, and the processes of wigeonfront that run on them."""
 
 import os
 import subprocess
@@ -21,36 +21,53 @@
 
 START_SECONDS = 20.0
 STOP_SECONDS = 8.0
-POLL_SECONDS = 0.05
+READY_POLL_SECONDS = 0.05
 EVENT_SECONDS = 0.005
-EVENTS = 20
+EVENTS_PER_SAMPLE = 20
 
-_runs = count()
+_network_numbers = count()
 
 
 class ClusterError(Exception):
-    """The processes can't be started."""
+    """The processes could not be started."""
 
 
 class Cluster:
-    """One example deployment, from entering the context until leaving it.
+    """Context manager that runs an example deployment while its context is open.
 
     Parameters
     ----------
     example : Example
+        The deployment.
     folder : pathlib.Path
-        Where the processes' logs go.
+        Folder for the logs of the processes.
     binary : str
-        A built single file to run; the installed package where empty.
+        Path of the single-file program to run; empty to run the installed package.
+
+    Attributes
+    ----------
+    rows : MemoryRows
+        State of the platform's store.
+    engines : list of Engine
+    plain : list of PlainService
+    duties : DutyServer
+        The platform's interface for duties.
+    api_addresses : list of str
+        ``host:port`` of the API of each entry.
+
+    Raises
+    ------
+    ClusterError
+        On entering the context, if a process ends or is not ready in time.
     """
 
     def __init__(self, example: Example, folder: Path, binary: str) -> None:
         self._example = example
         self._folder = folder
-        self._program = [sys.executable, binary or "-m"]
+        self._command = [sys.executable, binary or "-m"]
         if not binary:
-            self._program.append("wigeonfront")
-        self._hosts = _hosts()
+            self._command.append("wigeonfront")
+        self._hosts = _loopback_hosts()
         self._processes: dict[str, subprocess.Popen] = {}
         self.rows = MemoryRows()
         self._store = StoreServer(self._address(next(self._hosts)), self.rows)
@@ -71,7 +88,7 @@
             address,
             f"engine-{number}",
             versions,
-            events=EVENTS,
+            events=EVENTS_PER_SAMPLE,
             on_load=lambda engine: self._register(engine, number),
         )
         engine.faults.event_seconds = EVENT_SECONDS
@@ -92,17 +109,24 @@
         self._stop()
 
     @property
-    def size(self) -> int:
-        """How many processes run."""
+    def process_count(self) -> int:
+        """Number of processes that were started."""
         return len(self._processes)
 
     @property
-    def ended(self) -> list[str]:
-        """Processes that have ended by themselves."""
-        return [name for name, one in self._processes.items() if one.poll() is not None]
+    def ended_processes(self) -> list[str]:
+        """Names of the processes that have ended by themselves."""
+        return [
+            name
+            for name, process in self._processes.items()
+            if process.poll() is not None
+        ]
 
     def name_version(self, version: int) -> None:
-        """Name a version of the weights, as a trainer does after a step."""
+        """Write a new version of the weights, as a trainer does after a step.
+
+        A version that is not newer than the last one is ignored.
+        """
         with self._lock:
             if version > self._version:
                 self._version = version
@@ -131,7 +155,9 @@
             self._example.service(engine),
             target.address,
             zone=self._example.failure_domain(number),
-            models=[{"name": name, "version": v} for name, v in versions.items()],
+            models=[
+                {"name": name, "version": version} for name, version in versions.items()
+            ],
         )
 
     def _start_entries(self) -> None:
@@ -139,7 +165,7 @@
         peers = [self._address(host) for host in hosts]
         for number, host in enumerate(hosts):
             self.api_addresses.append(self._address(host))
-            self._run(
+            self._start_process(
                 "entry",
                 number,
                 host,
@@ -165,31 +191,35 @@
             host = next(self._hosts)
             service = self._example.service(engines=True)
             flags = (("--target", engine.address), ("--service", service))
-            self._run("side", number, host, *flags)
+            self._start_process("side", number, host, *flags)
 
-    def _run(self, role: str, number: int, host: str, *own: tuple[str, str]) -> None:
+    def _start_process(
+        self, role: str, number: int, host: str, *role_flags: tuple[str, str]
+    ) -> None:
         name = f"{role}-{number}"
         flags = (
             ("--name", name),
             ("--host", host),
             ("--failure-domain", self._example.failure_domain(number)),
             ("--store", self._store.address),
-            *own,
+            *role_flags,
         )
-        texts = [text for pair in flags for text in pair]
+        arguments = [text for pair in flags for text in pair]
         with (self._folder / f"{name}.log").open("ab") as log:
             self._processes[name] = subprocess.Popen(
-                [*self._program, role, *texts], stdout=log, stderr=log
+                [*self._command, role, *arguments], stdout=log, stderr=log
             )
 
     def _wait_until_ready(self) -> None:
         deadline = time.monotonic() + START_SECONDS
         while not all(map(_is_ready, self.api_addresses)):
-            if self.ended:
-                raise ClusterError(f"{self.ended[0]} has ended; see {self._folder}")
+            if self.ended_processes:
+                raise ClusterError(
+                    f"{self.ended_processes[0]} has ended; see {self._folder}"
+                )
             if time.monotonic() > deadline:
-                raise ClusterError(f"not ready within {START_SECONDS:g} s")
-            time.sleep(POLL_SECONDS)
+                raise ClusterError(f"entries are not ready within {START_SECONDS:g} s")
+            time.sleep(READY_POLL_SECONDS)
 
     def _stop(self) -> None:
         for process in self._processes.values():
@@ -211,8 +241,11 @@
     return isinstance(answer, Answer) and answer.status == 200
 
 
-def _hosts() -> Iterator[str]:
-    """Yield loopback addresses that differ from those of other runs."""
+def _loopback_hosts() -> Iterator[str]:
+    """Return loopback addresses that differ from those of other clusters.
+
+    They differ by the id of this process and by the number of the cluster in it.
+    """
     high, low = divmod(os.getpid(), 250)
-    network = next(_runs)
+    network = next(_network_numbers)
     return (f"127.{low + 1}.{high % 250 + 1}.{network * 60 + n + 1}" for n in range(60))
--- a/examples/quickstart/example.py
+++ b/examples/quickstart/example.py
@@ -1,15 +1,30 @@
-"""What the example deployments hold, read from their JSON files."""
+"""Descriptions of the example deployments, which are read from JSON files."""
 
 from pathlib import Path
 
 import msgspec
 
 FOLDER = Path(__file__).resolve().parent
-NAMES = ("hraunbok", "association")
+EXAMPLE_NAMES = ("hraunbok", "association")
 
 
-class TrainerPart(msgspec.Struct, forbid_unknown_fields=True):
-    """A trainer: Lots of `samples` in groups of `group`, one after another."""
+class TrainerConfig(msgspec.Struct, forbid_unknown_fields=True):
+    """A trainer, which submits one Lot after another.
+
+    Attributes
+    ----------
+    samples : int
+        Number of samples of each Lot.
+    group : int
+        Number of samples of each group of a Lot.
+    bound : int
+        Number of versions by which the weights of a sample may be older than those
+        that the Lot asks for.
+    reward_route : str
+        Route of the reward calls; empty for none.
+    api_key : str
+        Empty where calls need none.
+    """
 
     name: str
     samples: int
@@ -19,15 +34,17 @@
     api_key: str = ""
 
 
-class CallerPart(msgspec.Struct, forbid_unknown_fields=True):
-    """An ordinary user.
+class CallerConfig(msgspec.Struct, forbid_unknown_fields=True):
+    """A caller, which makes one request after another.
 
     Attributes
     ----------
     once : bool
-        Its calls must not run twice; they have idempotency keys.
+        Whether its calls must not run twice; they have idempotency keys then.
     streamed : bool
-        Its answers are streams of an engine.
+        Whether its answers are streams of an engine.
+    api_key : str
+        Empty where calls need none.
     """
 
     name: str
@@ -40,18 +57,20 @@
 
 
 class Example(msgspec.Struct, forbid_unknown_fields=True):
-    """One deployment.
+    """An example deployment.
 
     Attributes
     ----------
     entries, engines, plain : int
-        How many there are of each.
+        Number of entries, of model engines and of plain services.
     sides : bool
-        A side runs beside each engine; without sides, entries order the engines.
+        Whether a side runs beside each engine. Without sides, the entries send the
+        engines their orders.
     catalogue : msgspec.Raw
         The document that an operator writes.
     usage_window : float
-        Seconds in which usage of client accounts is counted; 0 for not at all.
+        Seconds of a window in which the usage of client accounts is counted; 0 if it
+        isn't counted.
     """
 
     name: str
@@ -62,27 +81,27 @@
     sides: bool
     plain: int
     model: str
-    trainers: list[TrainerPart]
-    callers: list[CallerPart]
+    trainers: list[TrainerConfig]
+    callers: list[CallerConfig]
     catalogue: msgspec.Raw
     usage_window: float = 0.0
 
     def failure_domain(self, number: int) -> str:
-        """Return where the machine with this number stands."""
+        """Return the failure domain of the VM with this number."""
         return self.failure_domains[number % len(self.failure_domains)]
 
     def service(self, engines: bool) -> str:
-        """Return the name of the engines' service, or of the plain one."""
+        """Return the name of the engines' service, or else of the plain service."""
         document = msgspec.json.decode(self.catalogue)
-        found = [
-            each["name"]
-            for each in document["services"]
-            if ("engine" in each) == engines
+        names = [
+            service["name"]
+            for service in document["services"]
+            if ("engine" in service) == engines
         ]
-        return found[0]
+        return names[0]
 
 
-def load(name: str) -> Example:
-    """Read an example deployment by its name."""
+def read_example(name: str) -> Example:
+    """Read the example deployment `name` from its file."""
     data = (FOLDER / f"{name}.json").read_bytes()
     return msgspec.json.decode(data, type=Example)
--- a/examples/quickstart/load.py
+++ b/examples/quickstart/load.py
@@ -1,4 +1,4 @@
-"""Trainers and ordinary users, who check what they get."""
+"""Trainers and callers, which put load on a deployment and check its answers."""
 
 import itertools
 import random
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram
 
 from quickstart.cluster import Cluster
-from quickstart.example import CallerPart, TrainerPart
+from quickstart.example import CallerConfig, TrainerConfig
 from wigeonfront import client
 from wigeonfront.api.requests import REQUESTS_PATH
 from wigeonfront.http.client import Answer, Pool
@@ -20,25 +20,25 @@
 LOT_SECONDS = 20.0
 CALL_SECONDS = 5.0
 CALL_PAUSE_SECONDS = 0.05
-MOST_MILLISECONDS = 120_000
+MAX_MILLISECONDS = 120_000
 
 
 class TrainerReport(msgspec.Struct):
-    """What a trainer measured.
+    """Measurements of a trainer.
 
     Attributes
     ----------
     lots, samples : int
-        Delivered.
+        Lots that were answered, and their completed samples.
     given_up : int
-        Samples without a text.
+        Samples of answered Lots that ended without a text.
     wrong : int
-        Samples whose text is not whole, whose weights are too old, or whose score no
-        target gave.
+        Completed samples whose text is not complete, whose weights are too old, or
+        whose score no target gave.
     late : int
         Lots that were not answered in time.
     median_seconds : float
-        Of the Lots' times.
+        Median time from submission to the end of a Lot.
     """
 
     name: str
@@ -51,18 +51,18 @@
 
 
 class CallerReport(msgspec.Struct):
-    """What an ordinary user measured.
+    """Measurements of a caller.
 
     Attributes
     ----------
     ends : dict of str to int
-        How the calls ended, by outcome.
+        Number of calls by outcome.
     foreign : int
-        Answers that belong to another call.
+        Answers with another payload than that of their call, or with missing events.
     doubled : int
-        Calls that must run once and ran more often.
+        Repeated runs of calls that must run only once.
     p50_ms, p99_ms : float
-        Time of completed calls in milliseconds.
+        Percentiles of the times of completed calls, in milliseconds.
     """
 
     name: str
@@ -74,32 +74,35 @@
 
 
 class Trainer(threading.Thread):
-    """Submits Lots until told to stop, and names a new version after each."""
+    """Thread that submits Lots and writes a new version of the weights after each.
+
+    It ends after the Lot during which `stop_asked` is set.
+    """
 
     def __init__(
-        self, cluster: Cluster, part: TrainerPart, route: str, model: str
+        self, cluster: Cluster, config: TrainerConfig, route: str, model: str
     ) -> None:
         super().__init__(daemon=True)
         self._cluster = cluster
-        self._part = part
+        self._config = config
         self._route = route
         self._model = model
         self._client = client.TrainerClient(
-            cluster.api_addresses, part.name, api_key=part.api_key
+            cluster.api_addresses, config.name, api_key=config.api_key
         )
-        self._times = HdrHistogram(1, MOST_MILLISECONDS, 3)
+        self._times = HdrHistogram(1, MAX_MILLISECONDS, 3)
         self.stop_asked = threading.Event()
-        self.report = TrainerReport(part.name)
+        self.report = TrainerReport(config.name)
 
     def run(self) -> None:
-        """Submit one Lot after another."""
+        """Submit one Lot after another, and check the answers."""
         for version in itertools.count(1):
-            lot = self._lot(version)
+            lot = self._build_lot(version)
             began = time.monotonic()
-            end = self._client.submit_lot(lot, LOT_SECONDS)
+            outcome = self._client.submit_lot(lot, LOT_SECONDS)
             self._times.record_value(round((time.monotonic() - began) * 1000))
-            if isinstance(end, client.LotAnswered):
-                self._check(lot, end)
+            if isinstance(outcome, client.LotAnswered):
+                self._check_answer(lot, outcome)
                 self._client.acknowledge(lot, CALL_SECONDS)
             else:
                 self.report.late += 1
@@ -110,28 +113,30 @@
         self.report.median_seconds = median / 1000
         self._client.close()
 
-    def _lot(self, version: int) -> client.Lot:
-        part = self._part
-        reward = client.RewardCall(part.reward_route, "score")
+    def _build_lot(self, version: int) -> client.Lot:
+        config = self._config
+        reward = client.RewardCall(config.reward_route, "score")
         samples = tuple(
             client.Sample(
                 f"{version}-{n}",
-                {"prompt": n // part.group},
-                group=f"g{n // part.group}",
-                reward_call=reward if part.reward_route else None,
+                {"prompt": n // config.group},
+                group=f"g{n // config.group}",
+                reward_call=reward if config.reward_route else None,
             )
-            for n in range(part.samples)
+            for n in range(config.samples)
         )
         name = f"step-{version}"
-        return client.Lot(name, self._route, self._model, version, samples, part.bound)
+        return client.Lot(
+            name, self._route, self._model, version, samples, config.bound
+        )
 
-    def _check(self, lot: client.Lot, answer: client.LotAnswered) -> None:
+    def _check_answer(self, lot: client.Lot, answer: client.LotAnswered) -> None:
         self.report.lots += 1
-        given = {
-            mark
+        seals = {
+            seal
             for service in self._cluster.plain
-            for marks in list(service.seals.values())
-            for mark in marks
+            for request_seals in list(service.seals.values())
+            for seal in request_seals
         }
         for outcome in answer.outcomes.values():
             if not isinstance(outcome, Completed):
@@ -139,82 +144,90 @@
                 continue
             self.report.samples += 1
             lines = str(outcome.payload).splitlines()
-            whole = len(lines) == self._cluster.engines[0].events
+            complete = len(lines) == self._cluster.engines[0].events
             fresh = min(outcome.versions, default=-1) >= lot.version - lot.bound
-            scored = not self._part.reward_route or outcome.score in given
-            self.report.wrong += not (whole and fresh and scored)
+            scored = not self._config.reward_route or outcome.score in seals
+            self.report.wrong += not (complete and fresh and scored)
 
 
 class Caller(threading.Thread):
-    """Makes one call after another until told to stop."""
+    """Thread that makes one call after another until `stop_asked` is set."""
 
-    def __init__(self, cluster: Cluster, part: CallerPart, model: str) -> None:
+    def __init__(self, cluster: Cluster, config: CallerConfig, model: str) -> None:
         super().__init__(daemon=True)
         self._cluster = cluster
-        self._part = part
-        self._model = model if part.streamed else ""
-        self._client = client.RequestClient(cluster.api_addresses, api_key=part.api_key)
-        self._times = HdrHistogram(1, MOST_MILLISECONDS, 3)
+        self._config = config
+        self._model = model if config.streamed else ""
+        self._client = client.RequestClient(
+            cluster.api_addresses, api_key=config.api_key
+        )
+        self._times = HdrHistogram(1, MAX_MILLISECONDS, 3)
         self._ends: Counter[str] = Counter()
         self._numbers: list[int] = []
         self.stop_asked = threading.Event()
-        self.report = CallerReport(part.name)
+        self.report = CallerReport(config.name)
 
     def run(self) -> None:
-        """Make the calls."""
+        """Make one call after another, and fill in the report at the end."""
         for number in itertools.count(1):
             self._call(number)
             if self.stop_asked.wait(CALL_PAUSE_SECONDS):
                 break
         self.report.ends = dict(self._ends)
-        self.report.doubled = self._doubled() if self._part.once else 0
+        self.report.doubled = self._repeated_runs() if self._config.once else 0
         self.report.p50_ms = self._times.get_value_at_percentile(50)
         self.report.p99_ms = self._times.get_value_at_percentile(99)
         self._client.close()
 
     def _call(self, number: int) -> None:
-        payload = {**self._part.payload, "number": number}
+        payload = {**self._config.payload, "number": number}
         began = time.monotonic()
-        outcome = self._ask(payload)
+        outcome = self._send(payload)
         milliseconds = (time.monotonic() - began) * 1000
         self._ends[type(outcome).__name__] += 1
         if isinstance(outcome, Completed):
             self._times.record_value(max(1, round(milliseconds)))
             self.report.foreign += outcome.payload != payload
 
-    def _ask(self, payload: dict[str, Any]) -> object:
-        part = self._part
-        if part.streamed:
+    def _send(self, payload: dict[str, Any]) -> object:
+        config = self._config
+        if config.streamed:
             return self._stream(payload)
-        key = self._client.mint_key().key if part.once else ""
+        key = self._client.mint_key().key if config.once else ""
         request = client.Request(
-            part.route, payload, part.path, idempotent=not part.once, key=key
+            config.route, payload, config.path, idempotent=not config.once, key=key
         )
         return self._client.call(request, CALL_SECONDS)
 
     def _stream(self, payload: dict[str, Any]) -> object:
-        """Read a stream to its end; it is whole if no event is missing."""
-        part = self._part
+        """Read a stream to its end.
+
+        The outcome has the payload if no event of the stream is missing, or else
+        ``None``.
+        """
+        config = self._config
         body = {
-            "route": part.route,
-            "path": part.path,
+            "route": config.route,
+            "path": config.path,
             "payload": payload,
             "model": self._model,
         }
         pool = Pool(random.choice(self._cluster.api_addresses))
-        headers = {"Authorization": f"Bearer {part.api_key}"} if part.api_key else {}
+        headers = (
+            {"Authorization": f"Bearer {config.api_key}"} if config.api_key else {}
+        )
         answer = pool.call("POST", REQUESTS_PATH, body, headers, CALL_SECONDS)
         pool.close()
         if not isinstance(answer, Answer) or answer.status != 200:
             return answer
-        whole = answer.body.count(b"data: ") == self._cluster.engines[0].events
-        return Completed(payload if whole else None)
+        complete = answer.body.count(b"data: ") == self._cluster.engines[0].events
+        return Completed(payload if complete else None)
 
-    def _doubled(self) -> int:
-        ran = Counter(
+    def _repeated_runs(self) -> int:
+        runs = Counter(
             body
             for service in self._cluster.plain
             for _, target, body in list(service.requests)
-            if target.endswith(f"/{self._part.path}")
+            if target.endswith(f"/{self._config.path}")
         )
-        return sum(count - 1 for count in ran.values())
+        return sum(count - 1 for count in runs.values())
--- a/examples/quickstart/run.py
+++ b/examples/quickstart/run.py
@@ -1,4 +1,4 @@
-"""Runs the example deployments on this machine and prints what was measured.
+"""Runs the example deployments on this machine and prints their measurements.
 
 Usage, in ``examples`` with wigeonfront installed: ``python -m quickstart.run``.
 """
@@ -14,7 +14,7 @@
 from tqdm import tqdm
 
 from quickstart.cluster import Cluster, ClusterError
-from quickstart.example import NAMES, load
+from quickstart.example import EXAMPLE_NAMES, read_example
 from quickstart.load import (
     CALL_SECONDS,
     LOT_SECONDS,
@@ -29,7 +29,19 @@
 
 
 class UsageReport(msgspec.Struct):
-    """What the platform was told of the usage of client accounts."""
+    """Usage of client accounts that was reported to the platform.
+
+    Attributes
+    ----------
+    windows : int
+        Windows that were reported.
+    requests : int
+        Requests in all windows.
+    accounts : int
+        Client accounts in all windows.
+    contradictions : int
+        Violations that the platform's stand-in found.
+    """
 
     windows: int
     requests: int
@@ -38,7 +50,21 @@
 
 
 class RunReport(msgspec.Struct):
-    """What one deployment's run showed."""
+    """Measurements of the run of one deployment.
+
+    Attributes
+    ----------
+    processes : int
+        Number of processes that were started.
+    start_seconds : float
+        Time until all entries were ready.
+    ended : list of str
+        Processes that ended by themselves.
+    logs : str
+        Folder of the processes' logs.
+    usage : UsageReport, optional
+        ``None`` where usage isn't counted.
+    """
 
     deployment: str
     processes: int
@@ -50,14 +76,15 @@
     usage: UsageReport | None = None
 
     @property
-    def good(self) -> bool:
-        """Whether all trainers and callers were served, and served right."""
+    def succeeded(self) -> bool:
+        """Whether all trainers and callers got answers, and no answer was wrong."""
         trainers = all(
-            each.lots and not each.wrong and not each.late for each in self.trainers
+            trainer.lots and not trainer.wrong and not trainer.late
+            for trainer in self.trainers
         )
         callers = all(
-            each.ends.get("Completed") and not each.foreign and not each.doubled
-            for each in self.callers
+            caller.ends.get("Completed") and not caller.foreign and not caller.doubled
+            for caller in self.callers
         )
         usage = self.usage is None or (
             self.usage.requests and not self.usage.contradictions
@@ -66,21 +93,27 @@
 
 
 def run_deployment(name: str, arguments: argparse.Namespace, folder: Path) -> RunReport:
-    """Start one deployment, put load on it, and return what was measured."""
+    """Start a deployment, put load on it, and return the measurements.
+
+    Raises
+    ------
+    ClusterError
+        If a process ends or is not ready in time.
+    """
     began = time.monotonic()
-    example = load(name)
+    example = read_example(name)
     logs = folder / name
     logs.mkdir()
     with Cluster(example, logs, arguments.binary) as cluster:
         start_seconds = time.monotonic() - began
-        callers = [Caller(cluster, each, example.model) for each in example.callers]
+        callers = [Caller(cluster, config, example.model) for config in example.callers]
         trainers = [
-            Trainer(cluster, each, LOT_ROUTE, example.model)
-            for each in example.trainers
+            Trainer(cluster, config, LOT_ROUTE, example.model)
+            for config in example.trainers
         ]
         for thread in (*callers, *trainers):
             thread.start()
-        _wait(name, trainers, arguments.seconds)
+        _wait_for_load(name, trainers, arguments.seconds)
         for thread in (*trainers, *callers):
             thread.stop_asked.set()
         for trainer in trainers:
@@ -89,18 +122,18 @@
             caller.join(2 * CALL_SECONDS)
         return RunReport(
             name,
-            cluster.size,
+            cluster.process_count,
             start_seconds,
-            [each.report for each in trainers],
-            [each.report for each in callers],
-            cluster.ended,
+            [trainer.report for trainer in trainers],
+            [caller.report for caller in callers],
+            cluster.ended_processes,
             str(logs),
-            usage_of(cluster) if example.usage_window else None,
+            read_usage(cluster) if example.usage_window else None,
         )
 
 
-def usage_of(cluster: Cluster) -> UsageReport:
-    """Return what the platform has been told of usage so far."""
+def read_usage(cluster: Cluster) -> UsageReport:
+    """Return the usage that has been reported to the platform so far."""
     checker = cluster.duties.checker
     reports = list(checker.reports.values())
     return UsageReport(
@@ -111,63 +144,72 @@
     )
 
 
-def _wait(name: str, trainers: list[Trainer], seconds: float) -> None:
-    """Wait for the load's time, and show how many samples have come."""
+def _wait_for_load(name: str, trainers: list[Trainer], seconds: float) -> None:
+    """Wait for `seconds`, and show the number of samples that have come."""
     end = time.monotonic() + seconds
     with tqdm(desc=name, unit="sample", file=sys.stderr) as bar:
         while time.monotonic() < end:
             time.sleep(PROGRESS_SECONDS)
-            bar.update(sum(each.report.samples for each in trainers) - bar.n)
+            bar.update(sum(trainer.report.samples for trainer in trainers) - bar.n)
 
 
 def show(report: RunReport) -> None:
-    """Print `report` for people."""
+    """Print `report` in readable form."""
     print(f"\n== {report.deployment}: {report.processes} processes, ", end="")
     print(f"ready after {report.start_seconds:.1f} s; logs in {report.logs}")
-    for each in report.trainers:
+    for trainer in report.trainers:
         print(
-            f"trainer {each.name}: {each.lots} Lots, {each.samples} samples, "
-            f"median {each.median_seconds:.2f} s; {each.given_up} given up, "
-            f"{each.wrong} wrong, {each.late} late"
+            f"trainer {trainer.name}: {trainer.lots} Lots, {trainer.samples} samples, "
+            f"median {trainer.median_seconds:.2f} s; {trainer.given_up} samples given "
+            f"up, {trainer.wrong} wrong; {trainer.late} Lots late"
         )
-    for each in report.callers:
+    for caller in report.callers:
         print(
-            f"caller {each.name}: {each.ends}, p50 {each.p50_ms} ms, "
-            f"p99 {each.p99_ms} ms; {each.foreign} foreign, {each.doubled} run twice"
+            f"caller {caller.name}: {caller.ends}, p50 {caller.p50_ms} ms, "
+            f"p99 {caller.p99_ms} ms; {caller.foreign} wrong answers, "
+            f"{caller.doubled} repeated runs"
         )
     if report.usage is not None:
-        each = report.usage
+        usage = report.usage
         print(
-            f"usage: {each.windows} windows, {each.requests} requests of "
-            f"{each.accounts} accounts; {each.contradictions} contradictions"
+            f"usage: {usage.windows} windows, {usage.requests} requests of "
+            f"{usage.accounts} client accounts; {usage.contradictions} contradictions"
         )
     for name in report.ended:
-        print(f"{name} had ended")
+        print(f"process {name} ended during the run")
 
 
 def main() -> int:
-    """Run what the flags ask for; return 0 when all were served right."""
+    """Run the deployments that the flags ask for.
+
+    Returns
+    -------
+    int
+        Exit code: 0 if all deployments succeeded, otherwise 1.
+    """
     flags = argparse.ArgumentParser("python -m quickstart.run", None, __doc__)
-    flags.add_argument("--deployment", choices=[*NAMES, "both"], default="both")
-    flags.add_argument("--seconds", type=float, default=8.0, help="time of the load")
+    flags.add_argument("--deployment", choices=[*EXAMPLE_NAMES, "both"], default="both")
+    flags.add_argument(
+        "--seconds", type=float, default=8.0, help="duration of the load"
+    )
     flags.add_argument("--binary", default="", help="single-file program to run")
     flags.add_argument("--json", action="store_true", help="print JSON")
     arguments = flags.parse_args()
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(128 + number))
-    names = NAMES if arguments.deployment == "both" else (arguments.deployment,)
+    names = EXAMPLE_NAMES if arguments.deployment == "both" else (arguments.deployment,)
     folder = Path(tempfile.mkdtemp(prefix="wigeonfront-"))
     reports = []
     for name in names:
         try:
             reports.append(run_deployment(name, arguments, folder))
         except ClusterError as error:
-            print(f"{name} could not be run: {error}", file=sys.stderr)
+            print(f"{name} could not be started: {error}", file=sys.stderr)
             return 1
         if not arguments.json:
             show(reports[-1])
     if arguments.json:
         print(msgspec.json.encode(reports).decode())
-    return 0 if all(report.good for report in reports) else 1
+    return 0 if all(report.succeeded for report in reports) else 1
 
 
 if __name__ == "__main__":
