--- a/examples/quickstart/run.py
+++ b/examples/quickstart/run.py
@@ -77,7 +77,11 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether all trainers and callers got answers, and no answer was wrong."""
+        """Whether the run shows no fault.
+
+        All trainers and callers got answers and no wrong ones, usage was reported
+        without contradictions where it is counted, and no process ended by itself.
+        """
         trainers = all(
             trainer.lots and not trainer.wrong and not trainer.late
             for trainer in self.trainers
