--- a/examples/platform_standins/crashing.py
+++ b/examples/platform_standins/crashing.py
@@ -91,7 +91,9 @@
             self._id = f"{self._name}.{next(self._start_numbers)}"
             self._listener = socket.create_server(parse_address(self.address))
             accepting = threading.Thread(
-                target=self._accept, args=(self._listener, self._id), daemon=True
+                target=self._accept_connections,
+                args=(self._listener, self._id),
+                daemon=True,
             )
             accepting.start()
         self._on_start(self._id, self.address)
@@ -101,7 +103,7 @@
         self._stopped = True
         self._end_process(self._id)
 
-    def _accept(self, listener: socket.socket, id: str) -> None:
+    def _accept_connections(self, listener: socket.socket, id: str) -> None:
         while True:
             try:
                 connection, _ = listener.accept()
