--- a/benchmarks/soak/cluster.py
+++ b/benchmarks/soak/cluster.py
@@ -244,7 +244,7 @@
             lambda id: self.rows.remove(f"servers/{id}"),
             RESTART_SECONDS,
         )
-        crasher.crashes |= CRASHING_BODIES
+        crasher.crashing_bodies |= CRASHING_BODIES
         crasher.start()
         return crasher
 
@@ -349,7 +349,7 @@
             engine.faults.event_seconds = 0.03
         for scorer in self.scorers:
             scorer.refuse = scorer.cut = False
-            scorer.pause, scorer.status = 0.0, 200
+            scorer.run_seconds, scorer.status = 0.0, 200
         for target, service in self._targets():
             self._register(target, service)
         for entry in self.entries:
@@ -481,7 +481,7 @@
         self.rows.faults.down = False
 
     def _lose_writes(self, entry: EntryProcess) -> None:
-        self.rows.faults.lost_are_done = self.random.random() < 0.5
+        self.rows.faults.apply_lost_writes = self.random.random() < 0.5
         self.rows.faults.lose_writes = self.random.randint(1, 4)
 
     def _slow_store(self, entry: EntryProcess) -> None:
@@ -524,7 +524,9 @@
         scorer.cut = not scorer.cut
 
     def _scorer_slow(self, entry: EntryProcess) -> None:
-        self.random.choice(self.scorers).pause = self.random.choice((0.0, 0.2, 2.0))
+        self.random.choice(self.scorers).run_seconds = self.random.choice(
+            (0.0, 0.2, 2.0)
+        )
 
     def _scorer_fails(self, entry: EntryProcess) -> None:
         scorer = self.random.choice(self.scorers)
--- a/benchmarks/soak/trainer.py
+++ b/benchmarks/soak/trainer.py
@@ -237,7 +237,7 @@
             if sum(scorer.failed[call] for scorer in scorers) < MIN_FAILURES:
                 self._add_violation(lot, f"{result.id} was given up too soon")
             return False
-        marks = [mark for scorer in scorers for mark in scorer.marks.get(call, ())]
+        marks = [mark for scorer in scorers for mark in scorer.seals.get(call, ())]
         if result.score not in marks:
             self._add_violation(
                 lot,
@@ -257,7 +257,7 @@
         """Return the versions with which engines made event `number` of a sample."""
         engines = self._cluster.engines
         return set().union(
-            *(engine.made.get((sample, number), ()) for engine in engines)
+            *(engine.event_versions.get((sample, number), ()) for engine in engines)
         )
 
     def _read_everywhere(self, lot: SentLot) -> None:
@@ -289,7 +289,7 @@
 
     def _check_never_ran(self, lot: SentLot) -> None:
         for engine in self._cluster.engines:
-            if any(id.startswith(f"{lot.id}-") for id in engine.ran):
+            if any(id.startswith(f"{lot.id}-") for id in engine.run_counts):
                 self._add_violation(lot, "ran although every answer refused it")
 
     def _call(self, method, path, body=None, headers=None, front=""):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 from platform_standins import deployment
 from platform_standins.deployment import MODEL
 from platform_standins.ports import free_port
-from platform_standins.served import Served
+from platform_standins.server import StandInServer
 from rows_fakes import free_address, wait_for
 from wigeonfront import cli
 from wigeonfront.commands import exit_codes
@@ -345,7 +345,7 @@
 
 
 def test_after_a_lost_answer_only_a_read_is_sent_to_the_next_entry(run, offline):
-    silent = Served(free_address(), lambda call: call.abort(), threads=2)
+    silent = StandInServer(free_address(), lambda call: call.abort(), threads=2)
     silent.start()
     entries = [silent.address, run.entries[0]]
     assert offline("status", entries=entries) == exit_codes.OK
