--- a/src/wigeonfront/rollout/__init__.py
+++ b/src/wigeonfront/rollout/__init__.py
@@ -3,9 +3,9 @@
 `lots` answers the calls of trainers. `repository` stores Lots, `known_lots` and
 `owner_calls` read the Lots of other processes, and `ownership` and `takeover` decide
 which entry owns a Lot. `runner` runs all Lots that the process owns: `progress` is the
-state of one of them, `order`, `overload`, `placing` and `picking` decide which sample
-runs next and where, `sample_run` runs one sample, `after_run` decides what follows the
-run, and `scoring` gets the score of the text.
+state of one of them, `scheduling`, `overload`, `placement` and `picking` decide which
+sample runs next and where, `sample_run` runs one sample, `after_run` decides what
+follows the run, and `scoring` gets the score of the text.
 
 While the store is unavailable, `acceptance` and `submissions` accept Lots on disks, and
 `spooling` writes results to disks.
--- a/src/wigeonfront/rollout/picking.py
+++ b/src/wigeonfront/rollout/picking.py
@@ -26,7 +26,7 @@
     Parameters
     ----------
     placer : SamplePlacer
-    overload : OverloadWatch
+    overload : OverloadMonitor
     clock : Clock
     """
 
--- a/src/wigeonfront/rollout/runner.py
+++ b/src/wigeonfront/rollout/runner.py
@@ -176,7 +176,7 @@
         lot : Lot
         head_revision : int
             Revision of the Lot's head row; 0 while the row is not written.
-        left : Inheritance, optional
+        left : InitialState, optional
             Results and texts that an earlier owner left.
         """
         now = self._clock.monotonic()
