--- a/benchmarks/rounds/mechanisms.py
+++ b/benchmarks/rounds/mechanisms.py
@@ -111,7 +111,7 @@
         "coordination/feed.py",
         (
             (
-                "        return list(seeds[: seeds.index(me.address)])\n",
+                "        return list(seeds[: seeds.index(own_member.address)])\n",
                 "        return []\n",
             ),
         ),
--- a/src/wigeonfront/api/operations.py
+++ b/src/wigeonfront/api/operations.py
@@ -127,8 +127,8 @@
         Returns the live entries.
     version : callable
         Returns the version that this entry uses.
-    me : callable
-        Returns this entry as a member.
+    own_member : callable
+        Returns the membership record of this process.
     """
 
     def __init__(
@@ -137,13 +137,13 @@
         format: CatalogueFormat,
         members: Callable[[], list[Member]],
         version: Callable[[], int],
-        me: Callable[[], Member],
+        own_member: Callable[[], Member],
     ) -> None:
         self._store = store
         self._format = format
         self._members = members
         self._version = version
-        self._me = me
+        self._own_member = own_member
         self._pools = Pools(CONNECT_SECONDS)
 
     def get(self, call: RawCall) -> None:
@@ -220,7 +220,7 @@
 
     def _version_at(self, member: Member) -> int:
         """Return the version that an entry uses; -1 if it does not answer."""
-        if member.name == self._me().name:
+        if member.name == self._own_member().name:
             return self._version()
         answer = self._pools.post(member.address, VERSION_PATH, b"", ANSWER_SECONDS)
         try:
@@ -250,8 +250,8 @@
 
     Attributes
     ----------
-    me : callable
-        Returns this entry as a member.
+    own_member : callable
+        Returns the membership record of this process.
     ready : callable
         Returns whether callers may be sent to this entry.
     version : callable
@@ -272,7 +272,7 @@
     lots : Lots
     """
 
-    me: Callable[[], Member]
+    own_member: Callable[[], Member]
     ready: Callable[[], bool]
     version: Callable[[], int]
     members: Callable[[], list[Member]]
@@ -287,7 +287,7 @@
     def status(self) -> StatusReply:
         """Return what is known at present."""
         return StatusReply(
-            name=self.me().name,
+            name=self.own_member().name,
             ready=self.ready(),
             configuration_version=self.version(),
             store_reached=self.mirror.ready and not self.mirror.failing,
@@ -366,5 +366,5 @@
 
     def drain(self, call: RawCall) -> None:
         """Start a planned stop, as a stop signal does."""
-        call.reply_json(202, {"draining": self._deployment.me().name})
+        call.reply_json(202, {"draining": self._deployment.own_member().name})
         self._drain()
--- a/src/wigeonfront/coordination/feed.py
+++ b/src/wigeonfront/coordination/feed.py
@@ -241,7 +241,7 @@
 
 
 def feed_sources(
-    me: Member, members: Iterable[Member], seeds: Sequence[str]
+    own_member: Member, members: Iterable[Member], seeds: Sequence[str]
 ) -> list[str]:
     """Return the addresses that an entry follows, in the order of preference.
 
@@ -252,7 +252,7 @@
 
     Parameters
     ----------
-    me : Member
+    own_member : Member
         The entry itself.
     members : iterable of Member
         Entries that are known to be live.
@@ -269,17 +269,17 @@
     >>> feed_sources(members[4], members, ["10.0.0.0:1", "10.0.0.1:1"])[0]
     '10.0.0.2:1'
     """
-    if me.address in seeds:
-        return list(seeds[: seeds.index(me.address)])
-    rotated_seeds = rotated(seeds, me.address)
+    if own_member.address in seeds:
+        return list(seeds[: seeds.index(own_member.address)])
+    rotated_seeds = rotated(seeds, own_member.address)
     tree = sorted(
         (member.name, member.address)
         for member in members
-        if member.failure_domain == me.failure_domain
+        if member.failure_domain == own_member.failure_domain
         and not member.leaving
         and member.address not in seeds
     )
-    own_node = (me.name, me.address)
+    own_node = (own_member.name, own_member.address)
     index = tree.index(own_node) if own_node in tree else 0
     parent = [tree[(index - 1) // FOLLOWERS_PER_ENTRY][1]] if index else []
     return [*parent, *rotated_seeds]
--- a/src/wigeonfront/node/duties.py
+++ b/src/wigeonfront/node/duties.py
@@ -31,8 +31,8 @@
     settings : NodeSettings
     store : RowStore
     log : StartLog
-    me : callable
-        Returns this process as a member.
+    own_member : callable
+        Returns the membership record of this process.
     members : callable
         Returns the live entries.
     holder : callable
@@ -46,7 +46,7 @@
         settings: NodeSettings,
         store: RowStore,
         log: StartLog,
-        me: Callable[[], Member],
+        own_member: Callable[[], Member],
         members: Callable[[], list[Member]],
         holder: Callable[[str], str | None],
         clock: Clock,
@@ -55,8 +55,8 @@
         held = HeldStarts()
         client = StartClient()
         self._rights = Rights(store, settings.name, TERM_SECONDS, clock)
-        self._server = StartServer(log, held, lambda: me().incarnation, clock)
-        self._backup = StartBackup(log, client, me, members, clock)
+        self._server = StartServer(log, held, lambda: own_member().incarnation, clock)
+        self._backup = StartBackup(log, client, own_member, members, clock)
         self._reporter = UsageReporter(
             settings.name,
             holder,
@@ -65,7 +65,7 @@
             StartCollector(client, clock),
             log,
             held,
-            me,
+            own_member,
             members,
             PlatformDuties(settings.duty_address),
             UsageBounds(
@@ -105,7 +105,7 @@
     settings: NodeSettings,
     store: RowStore,
     log: StartLog,
-    me: Callable[[], Member],
+    own_member: Callable[[], Member],
     members: Callable[[], list[Member]],
     holder: Callable[[str], str | None],
     clock: Clock,
@@ -115,5 +115,5 @@
     if not settings.duty_address or Duty.USAGE not in settings.duties:
         return []
     return [
-        UsageDuty(settings, store, log, me, members, holder, clock, metrics),
+        UsageDuty(settings, store, log, own_member, members, holder, clock, metrics),
     ]
--- a/src/wigeonfront/node/entry.py
+++ b/src/wigeonfront/node/entry.py
@@ -325,7 +325,7 @@
     def _interface_parts(self) -> InterfaceParts:
         return InterfaceParts(
             name=self._settings.name,
-            me=lambda: self._registration.member,
+            own_member=lambda: self._registration.member,
             ready=lambda: self.ready,
             drain=self._drain,
             store=self._store,
--- a/src/wigeonfront/node/interface.py
+++ b/src/wigeonfront/node/interface.py
@@ -38,8 +38,8 @@
     ----------
     name : str
         Name of the machine.
-    me : callable
-        Returns this process as a member.
+    own_member : callable
+        Returns the membership record of this process.
     ready : callable
         Returns whether callers may be sent here.
     drain : callable
@@ -47,7 +47,7 @@
     """
 
     name: str
-    me: Callable[[], Member]
+    own_member: Callable[[], Member]
     ready: Callable[[], bool]
     drain: Callable[[], None]
     store: RowStore
@@ -90,7 +90,7 @@
 def _idempotent_requests(parts: InterfaceParts) -> IdempotentRequests:
     return IdempotentRequests(
         parts.store,
-        lambda: parts.me().incarnation,
+        lambda: parts.own_member().incarnation,
         lambda: {member.incarnation for member in parts.view.members()},
         parts.clock,
     )
@@ -102,7 +102,7 @@
         PlatformCatalogue(),
         parts.view.members,
         lambda: parts.configuration.version,
-        parts.me,
+        parts.own_member,
     )
 
 
@@ -110,7 +110,7 @@
     remembered = RecentEvents(parts.name)
     logging.getLogger("wigeonfront").addHandler(remembered)
     deployment = Deployment(
-        me=parts.me,
+        own_member=parts.own_member,
         ready=parts.ready,
         version=lambda: parts.configuration.version,
         members=parts.view.members,
--- a/src/wigeonfront/node/store_view.py
+++ b/src/wigeonfront/node/store_view.py
@@ -101,8 +101,8 @@
         }
         # The mirror shows this entry up to 0.3 s late, for which its Lots would wait.
         if self._registration.registered:
-            me = self._registration.member
-            found[me.name] = me
+            own_member = self._registration.member
+            found[own_member.name] = own_member
         return list(found.values())
 
     def disks(self) -> list[Member]:
--- a/src/wigeonfront/rollout/known_lots.py
+++ b/src/wigeonfront/rollout/known_lots.py
@@ -71,8 +71,8 @@
     mirror : Mirror
         Mirror of the rows that name the owners and the members.
     owners : OwnerClient
-    me : callable
-        Returns this process as a member.
+    own_member : callable
+        Returns the membership record of this process.
     members : callable
         Returns the registered members.
     pending : PendingLots
@@ -84,7 +84,7 @@
         repository: LotRepository,
         mirror: Mirror,
         owners: OwnerClient,
-        me: Callable[[], Member],
+        own_member: Callable[[], Member],
         members: Callable[[], list[Member]],
         pending: PendingLots,
         clock: Clock,
@@ -92,7 +92,7 @@
         self._repository = repository
         self._mirror = mirror
         self._owners = owners
-        self._me = me
+        self._own_member = own_member
         self._members = members
         self._pending = pending
         self._clock = clock
@@ -114,7 +114,7 @@
         addresses = {
             member.incarnation: member.address
             for member in self._members()
-            if member.incarnation != self._me().incarnation
+            if member.incarnation != self._own_member().incarnation
         }
         heads = sorted(self.heads().values(), key=lambda head: -head.submitted_at)
         owners = dict.fromkeys(head.owner for head in heads)
@@ -264,10 +264,10 @@
         another failure domain, as the store is as near and this spares the link between
         the failure domains.
         """
-        me = self._me()
+        own_member = self._own_member()
         for member in self._members():
-            if head.owner == member.incarnation != me.incarnation:
-                near = member.failure_domain == me.failure_domain
+            if head.owner == member.incarnation != own_member.incarnation:
+                near = member.failure_domain == own_member.failure_domain
                 ended = head.state is LotState.ENDED
                 return "" if ended and not near else member.address
         return ""
--- a/src/wigeonfront/rollout/lots.py
+++ b/src/wigeonfront/rollout/lots.py
@@ -65,8 +65,8 @@
     runner : LotRunner
     mirror : Mirror
         Mirror of the rows that name the owners and the members.
-    me : callable
-        Returns this process as a member.
+    own_member : callable
+        Returns the membership record of this process.
     presence : callable
         Returns the `Presence` of this process.
     members : callable
@@ -84,7 +84,7 @@
         repository: LotRepository,
         runner: LotRunner,
         mirror: Mirror,
-        me: Callable[[], Member],
+        own_member: Callable[[], Member],
         presence: Callable[[], Presence],
         members: Callable[[], list[Member]],
         spools: LotSpools,
@@ -97,7 +97,7 @@
         self._owners = OwnerClient(clock)
         self._repository = repository
         self._runner = runner
-        self._member = me
+        self._member = own_member
         self._presence = presence
         self._members = members
         self._clock = clock
@@ -106,13 +106,13 @@
         self._head_writer = DeferredHeadWriter(
             repository,
             submissions,
-            lambda: me().incarnation,
+            lambda: own_member().incarnation,
             runner.deferred,
             runner.note_head_written,
             self._stop_foreign_lot,
         )
         self._known = KnownLots(
-            repository, mirror, self._owners, me, members, pending, clock
+            repository, mirror, self._owners, own_member, members, pending, clock
         )
         self._takeover = LotTakeover(
             repository,
@@ -120,14 +120,14 @@
             self._known,
             spools,
             mirror,
-            me,
+            own_member,
             members,
             on_start,
             clock,
         )
 
     @property
-    def _me(self) -> Member:
+    def _own_member(self) -> Member:
         return self._member()
 
     # --- calls ---------------------------------------------------------------
@@ -139,9 +139,9 @@
         """
         if self.knows(lot.id):
             return Accepted()
-        me = self._me
-        owner = preferred_owner(lot, self._members(), me.failure_domain)
-        if owner is not None and owner.name != me.name:
+        own_member = self._own_member
+        owner = preferred_owner(lot, self._members(), own_member.failure_domain)
+        if owner is not None and owner.name != own_member.name:
             address = owner.address
             if not self._owners.avoids(address) and self._owners.submit(address, lot):
                 known = KnownLot(len(lot.samples), [], lot, owner=address)
@@ -169,7 +169,7 @@
         """Store a Lot and begin to run it."""
         # A leaving process could not finish the Lot. Without an owner it is taken over
         # by another process.
-        owner = NO_OWNER if self._takeover.leaving else self._me.incarnation
+        owner = NO_OWNER if self._takeover.leaving else self._own_member.incarnation
         spools = self._spools.choose(lot.id)
         outcome = self._acceptance.accept(lot, owner, spools)
         event(
@@ -310,7 +310,9 @@
             return False
         kept = self._store_shown(progress)
         if kept:
-            head = self._make_head(progress, self._me.incarnation, LotState.OPEN)
+            head = self._make_head(
+                progress, self._own_member.incarnation, LotState.OPEN
+            )
             kept = isinstance(self._repository.end(lot_id, head), Kept)
         event(logger, "lot_ended", lot=lot_id, kept=kept)
         self._known.remember(progress, final=kept)
--- a/src/wigeonfront/rollout/takeover.py
+++ b/src/wigeonfront/rollout/takeover.py
@@ -36,8 +36,8 @@
     spools : LotSpools
     mirror : Mirror
         Mirror of the rows that name the owners and the members.
-    me : callable
-        Returns this process as a member.
+    own_member : callable
+        Returns the membership record of this process.
     members : callable
         Returns the registered members.
     on_start : callable
@@ -57,7 +57,7 @@
         known: KnownLots,
         spools: LotSpools,
         mirror: Mirror,
-        me: Callable[[], Member],
+        own_member: Callable[[], Member],
         members: Callable[[], list[Member]],
         on_start: Callable[[], None],
         clock: Clock,
@@ -67,7 +67,7 @@
         self._known = known
         self._spools = spools
         self._mirror = mirror
-        self._me = me
+        self._own_member = own_member
         self._members = members
         self._on_start = on_start
         self._clock = clock
@@ -109,7 +109,7 @@
                 continue
             if head.revision > progress.head_revision:
                 self._runner.stop_lot(lot_id, f"now {head.state.value} at {head.owner}")
-                ended_here = head.owner == self._me().incarnation
+                ended_here = head.owner == self._own_member().incarnation
                 final = ended_here and head.state is LotState.ENDED
                 self._known.remember(progress, final)
 
@@ -125,7 +125,7 @@
             heads,
             members,
             self._missing_since,
-            self._me().incarnation,
+            self._own_member().incarnation,
             self._runner.owned_ids(),
             now,
             OWNER_GRACE_SECONDS,
@@ -148,8 +148,10 @@
         # If this process ran the Lot under this revision, its writes may still be in
         # flight. A new revision has them rejected.
         ran_before = self._runner.has_run(lot_id, revision)
-        if ran_before or head.owner != self._me().incarnation:
-            outcome = self._repository.claim(lot_id, head, self._me().incarnation)
+        if ran_before or head.owner != self._own_member().incarnation:
+            outcome = self._repository.claim(
+                lot_id, head, self._own_member().incarnation
+            )
             event(
                 logger,
                 "lot_claimed",
--- a/src/wigeonfront/usage/backup.py
+++ b/src/wigeonfront/usage/backup.py
@@ -27,7 +27,7 @@
     ----------
     log : StartLog
     client : StartClient
-    me : callable
+    own_member : callable
         Returns the membership record of this process.
     members : callable
         Returns the membership records of the live entries.
@@ -38,13 +38,13 @@
         self,
         log: StartLog,
         client: StartClient,
-        me: Callable[[], Member],
+        own_member: Callable[[], Member],
         members: Callable[[], list[Member]],
         clock: Clock,
     ) -> None:
         self._log = log
         self._client = client
-        self._me = me
+        self._own_member = own_member
         self._members = members
         self._clock = clock
         # Incarnation of the entry that holds the copies; empty if there is none.
@@ -77,7 +77,7 @@
             AgedStart(start.number, start.account, now - start.at) for start in starts
         ]
         copies = CopyStarts(
-            ProcessStarts(self._me().incarnation, aged), self._withdrawn
+            ProcessStarts(self._own_member().incarnation, aged), self._withdrawn
         )
         if self._client.copy(member.address, copies):
             self._last_copied = max(
@@ -99,10 +99,10 @@
             if self._avoided_until.get(member.address, 0.0) <= now
             and not member.leaving
         ]
-        return copy_holder(self._me(), usable)
+        return copy_holder(self._own_member(), usable)
 
 
-def copy_holder(me: Member, members: Collection[Member]) -> Member | None:
+def copy_holder(own_member: Member, members: Collection[Member]) -> Member | None:
     """Return the entry that holds the copies of a process, or ``None``.
 
     An entry of the same failure domain is preferred: copies are many and small, and a
@@ -110,17 +110,19 @@
 
     Parameters
     ----------
-    me : Member
+    own_member : Member
         The process whose starts are copied.
     members : collection of Member
         Entries that may hold copies.
     """
-    others = {member.name: member for member in members if member.name != me.name}
+    others = {
+        member.name: member for member in members if member.name != own_member.name
+    }
     same_domain = {
         name: member
         for name, member in others.items()
-        if member.failure_domain == me.failure_domain
+        if member.failure_domain == own_member.failure_domain
     }
     usable = same_domain or others
-    name = rendezvous.owner(me.name, usable)
+    name = rendezvous.owner(own_member.name, usable)
     return usable[name] if name else None
--- a/src/wigeonfront/usage/reporting.py
+++ b/src/wigeonfront/usage/reporting.py
@@ -60,7 +60,7 @@
     collector : StartCollector
     log : StartLog
     held : HeldStarts
-    me : callable
+    own_member : callable
         Returns the membership record of this process.
     members : callable
         Returns the membership records of the live entries.
@@ -79,7 +79,7 @@
         collector: StartCollector,
         log: StartLog,
         held: HeldStarts,
-        me: Callable[[], Member],
+        own_member: Callable[[], Member],
         members: Callable[[], list[Member]],
         api: UsageApi,
         bounds: UsageBounds,
@@ -93,7 +93,7 @@
         self._collector = collector
         self._log = log
         self._held = held
-        self._me = me
+        self._own_member = own_member
         self._members = members
         self._api = api
         self._bounds = bounds
@@ -189,17 +189,22 @@
         unix_offset = self._now() - self._clock.boottime()
         since = self._bounds.begin(ended[0]) - unix_offset - CLOCK_MARGIN_SECONDS
         end = self._bounds.end(ended[-1]) - unix_offset
-        me = self._me()
+        own_member = self._own_member()
         collection = self._collection
         silent = [
             member
             for member in self._members()
-            if member.name != me.name
+            if member.name != own_member.name
             and collection.complete_until.get(member.incarnation, -1.0) < end
         ]
         self._collector.collect(silent, since, collection)
         collection.add_local(
-            me.incarnation, me.name, self._log, self._held, since, self._clock
+            own_member.incarnation,
+            own_member.name,
+            self._log,
+            self._held,
+            since,
+            self._clock,
         )
 
     def _fix(self, windows: list[int], offset: float, silent: int) -> None:
--- a/tests/test_mirror.py
+++ b/tests/test_mirror.py
@@ -246,7 +246,9 @@
 def test_number_of_followers_is_bounded_at_any_number_of_entries(count):
     members = [entry(f"n{number:04}", f"z{number % 5}") for number in range(3, count)]
     seeds = ("n0000:1", "n0001:1", "n0002:1")
-    parents = Counter(feed_sources(me, members, seeds)[0] for me in members)
+    parents = Counter(
+        feed_sources(own_member, members, seeds)[0] for own_member in members
+    )
     assert max(parents.values()) <= FOLLOWERS_PER_ENTRY
     for member in members:
         depth, address = 0, member.address
