--- a/src/wigeonfront/rollout/progress.py
+++ b/src/wigeonfront/rollout/progress.py
@@ -266,7 +266,7 @@
         self.lot = lot
         self.head_revision = head_revision
         self.kept = list(results)
-        self.unkept: list[SampleResult] = []
+        self.unwritten: list[SampleResult] = []
         self.in_doubt: list[SampleResult] = []
         self._writes_in_flight = 0
         self._answer_lost = False
@@ -289,7 +289,7 @@
     @property
     def results(self) -> list[SampleResult]:
         """All results in the order of their positions."""
-        return [*self.kept, *self.in_doubt, *self.unkept]
+        return [*self.kept, *self.in_doubt, *self.unwritten]
 
     @property
     def durable(self) -> list[SampleResult]:
@@ -347,7 +347,7 @@
         """Add a sample's result; return ``False`` if the sample had one already."""
         if not self._close(result.id):
             return False
-        self.unkept.append(result)
+        self.unwritten.append(result)
         return True
 
     def begin_batch(self, max_bytes: int) -> list[SampleResult]:
@@ -361,9 +361,9 @@
             Limit of the text in a batch. A single result may exceed it.
         """
         if not self.in_doubt:
-            count = count_fitting(self.unkept, max_bytes)
-            self.in_doubt = self.unkept[:count]
-            self.unkept = self.unkept[count:]
+            count = count_fitting(self.unwritten, max_bytes)
+            self.in_doubt = self.unwritten[:count]
+            self.unwritten = self.unwritten[count:]
             self._answer_lost = False
         return self.in_doubt
 
--- a/src/wigeonfront/rollout/result_writer.py
+++ b/src/wigeonfront/rollout/result_writer.py
@@ -78,10 +78,12 @@
                 stop.wait(STORE_RETRY_SECONDS)
                 continue
             with self._changed:
-                unkept = any(
-                    progress.unkept or progress.in_doubt for progress in self._lots()
+                unwritten = any(
+                    progress.unwritten or progress.in_doubt for progress in self._lots()
+                )
+                self._changed.wait(
+                    BATCH_WAIT_SECONDS if unwritten else IDLE_WAIT_SECONDS
                 )
-                self._changed.wait(BATCH_WAIT_SECONDS if unkept else IDLE_WAIT_SECONDS)
 
     def write_remaining(self, progress: LotProgress) -> WriteOutcome:
         """Write all results of a Lot that this process no longer runs.
@@ -89,7 +91,7 @@
         A batch that `run` writes at the same time is written twice. This is harmless,
         as the write is idempotent.
         """
-        while progress.unkept or progress.in_doubt:
+        while progress.unwritten or progress.in_doubt:
             outcome = self._write(progress)
             if not isinstance(outcome, Kept):
                 return outcome
--- a/src/wigeonfront/rollout/scheduling.py
+++ b/src/wigeonfront/rollout/scheduling.py
@@ -393,7 +393,7 @@
     now : float
         Monotonic time.
     """
-    if not progress.unkept and not progress.in_doubt:
+    if not progress.unwritten and not progress.in_doubt:
         return False
     if progress.ended:
         return False
--- a/tests/test_entry_node.py
+++ b/tests/test_entry_node.py
@@ -509,7 +509,7 @@
         engine.faults.event_seconds = seconds
     stopping = threading.Thread(target=first.stop)
     submit(first, "l1")
-    wait_for(lambda: first._runner.owned("l1").unkept)
+    wait_for(lambda: first._runner.owned("l1").unwritten)
     deployed.rows.faults.down = True
     stopping.start()
     # By now the entry has tried once to hand over.
--- a/tests/test_lot_runner.py
+++ b/tests/test_lot_runner.py
@@ -180,7 +180,7 @@
     sending(runner)
     progress = runner.owned("l")
     wait_for(lambda: not progress.open)
-    (result,) = progress.unkept
+    (result,) = progress.unwritten
     assert [after for _, after in runs.began] == began
     assert len(result.versions) == 1
     assert result.text.count(b"x") == 5
@@ -233,7 +233,7 @@
     sending(runner)
     progress = runner.owned("l")
     wait_for(lambda: not progress.open)
-    (result,) = progress.unkept
+    (result,) = progress.unwritten
     assert result.versions == (4,)
     assert [after for _, after in runs.began] == [0, 0]
 
--- a/tests/test_lot_times.py
+++ b/tests/test_lot_times.py
@@ -41,7 +41,7 @@
         owner.runner.wake()
         calls.held.set()
         wait_for(lambda: not progress.open)
-        (result,) = progress.unkept
+        (result,) = progress.unwritten
         assert result.completed
         assert all(left <= 40.0 for *_, left in calls.sent)
     finally:
@@ -59,7 +59,7 @@
         clock.advance(40.5)
         owner.runner.wake()
         wait_for(lambda: not progress.open)
-        assert not progress.unkept[0].completed
+        assert not progress.unwritten[0].completed
     finally:
         owner.close()
 
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -160,7 +160,7 @@
 
 def result_of(progress):
     wait_for(lambda: not progress.open)
-    (result,) = progress.unkept
+    (result,) = progress.unwritten
     return result
 
 
@@ -169,7 +169,7 @@
     owner.calls.held.clear()
     progress = owner.adopt(make_lot())
     wait_for(lambda: owner.calls.sent)
-    assert progress.unkept == [] and "s1" in progress.open
+    assert progress.unwritten == [] and "s1" in progress.open
     owner.calls.held.set()
     result = result_of(progress)
     assert (result.completed, result.text, result.score) == (True, b"e1\ne2", "mark")
@@ -273,7 +273,7 @@
     progress = owner.adopt(lot)
     wait_for(lambda: not progress.open)
     assert time.monotonic() - started < 2 * SLOW_SECONDS
-    assert {result.score for result in progress.unkept} == {"mark"}
+    assert {result.score for result in progress.unwritten} == {"mark"}
     wait_for(lambda: not owner.runner.scoring._calls)
     sent = [call.id for call, target, _ in owner.calls.sent if target == "p0"]
     assert sent and set(owner.calls.cancelled) == set(sent)
@@ -400,4 +400,4 @@
     assert not sent_more_within(owner, 12, 0.3)
     owner.calls.held.set()
     wait_for(lambda: not progress.open)
-    assert len({result.id for result in progress.unkept}) == 20
+    assert len({result.id for result in progress.unwritten}) == 20
--- a/tests/test_scoring_machine.py
+++ b/tests/test_scoring_machine.py
@@ -138,7 +138,7 @@
 
     @invariant()
     def completed_samples_have_a_score_and_no_sample_has_two_results(self):
-        results = self.progress.unkept
+        results = self.progress.unwritten
         assert len({result.id for result in results}) == len(results)
         for result in results:
             assert result.completed == bool(result.score)
@@ -146,7 +146,7 @@
 
     @invariant()
     def a_sample_is_given_up_only_past_both_limits(self):
-        for result in self.progress.unkept:
+        for result in self.progress.unwritten:
             if not result.completed:
                 assert self.failures[result.id] == max(LOT_LIMIT, ROUTE_LIMIT)
 
