--- a/src/wigeonfront/coordination/rights.py
+++ b/src/wigeonfront/coordination/rights.py
@@ -133,7 +133,7 @@
             self._confirmed_at = self._asked_at
 
 
-class AssignmentKeeper:
+class AssignmentWriter:
     """Writes the row of the assignment when holders join or leave; each entry has one.
 
     Parameters
--- a/src/wigeonfront/node/assigning.py
+++ b/src/wigeonfront/node/assigning.py
@@ -15,7 +15,7 @@
     decode_member,
 )
 from wigeonfront.coordination.mirror import Mirror
-from wigeonfront.coordination.rights import ASSIGNMENT_KEY, AssignmentKeeper
+from wigeonfront.coordination.rights import ASSIGNMENT_KEY, AssignmentWriter
 from wigeonfront.coordination.rows import RowStore
 from wigeonfront.node.following import ConfigurationFollower
 from wigeonfront.node.settings import NodeSettings
@@ -130,7 +130,7 @@
         self._on_change = on_change
         self._current: Assignment | None = None
         tracker = MembershipTracker(mirror, table, configuration, clock)
-        self._keeper = AssignmentKeeper(
+        self._writer = AssignmentWriter(
             store,
             settings.name,
             lambda: tracker.view(self._current),
@@ -163,7 +163,7 @@
 
     def start(self, supervisor: Supervisor) -> None:
         """Start the task that keeps the assignment up to date in the store."""
-        supervisor.start("assignment", self._keeper.run)
+        supervisor.start("assignment", self._writer.run)
 
     def on_live(self) -> None:
         """Adopt the assignment in the mirror if it is newer than the known one."""
@@ -178,5 +178,5 @@
         known = self._current
         if known is None or assignment.revision > known.revision:
             self._current = assignment
-            self._keeper.update_assignment(assignment)
+            self._writer.update_assignment(assignment)
             self._on_change(assignment)
--- a/src/wigeonfront/weights/__init__.py
+++ b/src/wigeonfront/weights/__init__.py
@@ -5,6 +5,6 @@
 view of an engine on another machine. In `wigeonfront.coordination`, `assignment`
 decides which machine orders an engine, and `rights` confirms that it may do so now.
 
-The caller's supervisor runs the tasks `WeightMover.run` and `AssignmentKeeper.run`;
+The caller's supervisor runs the tasks `WeightMover.run` and `AssignmentWriter.run`;
 `EngineFleet` starts and stops a mover for each engine.
 """
--- a/tests/test_assignment_machine.py
+++ b/tests/test_assignment_machine.py
@@ -25,7 +25,7 @@
     decode_assignment,
     writer_pause,
 )
-from wigeonfront.coordination.rights import ASSIGNMENT_KEY, AssignmentKeeper, Rights
+from wigeonfront.coordination.rights import ASSIGNMENT_KEY, AssignmentWriter, Rights
 from wigeonfront.coordination.rows import Row, Unavailable, Uncertain
 
 ORDER_SECONDS = 3.0
@@ -72,7 +72,7 @@
 
 
 class Machine:
-    """A process of a machine, with its keeper and its rights."""
+    """A process of a machine, with its writer and its rights."""
 
     def __init__(self, name, rows, clock):
         self.name = name
@@ -83,7 +83,7 @@
         self.rights = Rights(
             self.store, name, term, clock, receives_updates=not is_side
         )
-        self.keeper = AssignmentKeeper(
+        self.writer = AssignmentWriter(
             self.store,
             name,
             lambda: self.view,
@@ -94,7 +94,7 @@
 
     def hear(self, row):
         assignment = decode_assignment(row.value, row.revision)
-        self.keeper.update_assignment(assignment)
+        self.writer.update_assignment(assignment)
         self.rights.update_assignment(assignment)
 
 
@@ -167,10 +167,10 @@
     def entry_updates_the_row(self, name):
         """The entry finds a change due that no other entry writes for a while."""
         machine = self.machines[name]
-        machine.keeper.write_if_due()
+        machine.writer.write_if_due()
         if machine.view is not None:
             self.clock.advance(2.0 + writer_pause(name, machine.view.staying))
-            machine.keeper.write_if_due()
+            machine.writer.write_if_due()
         self.note_row()
 
     @rule(name=st.sampled_from(ENTRIES), data=st.data())
@@ -223,7 +223,7 @@
         for _ in range(200):
             self.clock.advance(0.5)
             for name in ENTRIES:
-                self.machines[name].keeper.write_if_due()
+                self.machines[name].writer.write_if_due()
             row = self.rows.get(ASSIGNMENT_KEY)
             for name in ENTRIES:
                 if isinstance(row, Row):
@@ -275,14 +275,14 @@
     walk.machines[survivor].hear(row)
     view = MembershipView(left, left, sides, frozenset(ENGINES), absent)
     walk.machines[survivor].view = view
-    walk.machines[survivor].keeper.write_if_due()
+    walk.machines[survivor].writer.write_if_due()
     walk.clock.advance(1.0 + writer_pause(survivor, left))
     walk.machine_orders(lost, engine, 0.0, 0.0, 0.0)
-    walk.machines[survivor].keeper.write_if_due()
+    walk.machines[survivor].writer.write_if_due()
     detected = False
     for _ in range(30):
         walk.clock.advance(0.2)
-        walk.machines[survivor].keeper.write_if_due()
+        walk.machines[survivor].writer.write_if_due()
         walk.note_row()
         for entry in left:
             walk.machines[entry].hear(walk.history[-1])
--- a/tests/test_usage_machine.py
+++ b/tests/test_usage_machine.py
@@ -22,7 +22,7 @@
     decode_assignment,
 )
 from wigeonfront.coordination.membership import Member
-from wigeonfront.coordination.rights import ASSIGNMENT_KEY, AssignmentKeeper, Rights
+from wigeonfront.coordination.rights import ASSIGNMENT_KEY, AssignmentWriter, Rights
 from wigeonfront.coordination.rows import Row
 from wigeonfront.duties import NotTaken, Taken
 from wigeonfront.observability.metrics import Registry
@@ -93,7 +93,7 @@
         self.held = HeldStarts()
         self.rights = Rights(self.store, name, TERM_SECONDS, self.clock)
         self.assignment = None
-        self.keeper = AssignmentKeeper(
+        self.writer = AssignmentWriter(
             self.store,
             name,
             lambda: self.present,
@@ -119,7 +119,7 @@
 
     def read_row(self, row):
         assignment = decode_assignment(row.value, row.revision)
-        self.keeper.update_assignment(assignment)
+        self.writer.update_assignment(assignment)
         self.rights.update_assignment(assignment)
         if self.assignment is None or assignment.revision > self.assignment.revision:
             self.assignment = assignment
@@ -178,7 +178,7 @@
     @rule()
     def all_machines_act(self):
         for machine in self.machines.values():
-            machine.keeper.write_if_due()
+            machine.writer.write_if_due()
         for name in NAMES:
             self.machine_reads_the_row(name)
         for machine in self.machines.values():
@@ -247,7 +247,7 @@
 
     @rule(name=st.sampled_from(NAMES))
     def entry_maintains_the_row(self, name):
-        self.machines[name].keeper.write_if_due()
+        self.machines[name].writer.write_if_due()
 
     @rule(name=st.sampled_from(NAMES))
     def machine_reads_the_row(self, name):
@@ -318,7 +318,7 @@
     for _ in range(60):
         walk.clock.advance(0.25)
         for name in others:
-            walk.machines[name].keeper.write_if_due()
+            walk.machines[name].writer.write_if_due()
             walk.machine_reads_the_row(name)
             walk.machines[name].act()
         first.act()
